--- a/cranberrywick/bench/prompts.py
+++ b/cranberrywick/bench/prompts.py
@@ -237,7 +237,7 @@
     def _tell(self, prompt: SimulatedPrompt, jobs: Sequence[Job], now: float) -> None:
         for number, load in enumerate(self._loads):
             if number != prompt.daemon:
-                load.hear(prompt.name, jobs, now)
+                load.receive(prompt.name, jobs, now)
 
     def _start(self, engine: SimulatedEngine, now: float) -> None:
         if not engine.busy and (engine.readings or engine.writers or engine.waiting):
--- a/cranberrywick/bench/request_path.py
+++ b/cranberrywick/bench/request_path.py
@@ -81,7 +81,7 @@
             )
             for _ in range(per_daemon)
         ]
-        load.hear(f"d{daemon}", jobs, NOW)
+        load.receive(f"d{daemon}", jobs, NOW)
     return load
 
 
--- a/cranberrywick/bench/simulated_news.py
+++ b/cranberrywick/bench/simulated_news.py
@@ -117,7 +117,7 @@
         """Take a datagram."""
         started = time.thread_time()
         now = asyncio.get_running_loop().time()
-        self.news._hear(decode_message(data, now), source)
+        self.news._receive(decode_message(data, now), source)
         self.hearing_seconds += time.thread_time() - started
 
     # What the news ask of whom they serve
--- a/cranberrywick/controllers/endpoints.py
+++ b/cranberrywick/controllers/endpoints.py
@@ -173,7 +173,7 @@
         self._own_to_ask = endpoint_ids
 
     def refresh_loads(self) -> None:
-        """Ask the endpoints that are ours to ask; answers come as `hear_load`."""
+        """Ask the endpoints that are ours to ask; answers come as `record_load`."""
         for endpoint in self._board.endpoints_by_id.values():
             endpoint_id = endpoint.endpoint_id
             if endpoint_id in self._polling or endpoint_id not in self._own_to_ask:
@@ -184,7 +184,7 @@
     def _poll_load(self, endpoint: Endpoint, own_proxy: Any) -> None:
         """Ask one endpoint; runs on a polling thread, so it only tells the actor."""
         try:
-            own_proxy.hear_load(fetch_load(endpoint, self._clock))
+            own_proxy.record_load(fetch_load(endpoint, self._clock))
         except CranberrywickError as error:
             self._log.debug(
                 "load_unavailable", endpoint=endpoint.endpoint_id, error=error
@@ -196,34 +196,34 @@
         """Allow the next poll of an endpoint."""
         self._polling.discard(endpoint_id)
 
-    def hear_load(self, load: EndpointLoad) -> None:
+    def record_load(self, load: EndpointLoad) -> None:
         """Take a report that was asked for, and pass it on to the other daemons."""
         if self._take_load(load):
             self._heard(load)
 
-    def hear_peer_load(self, load: EndpointLoad) -> None:
+    def record_peer_load(self, load: EndpointLoad) -> None:
         """Take a report that another daemon passed on."""
         self._take_load(load)
 
     def _take_load(self, load: EndpointLoad) -> bool:
-        current = self._phases.hear_load(load)
+        current = self._phases.record_load(load)
         if current is None or load.endpoint_id not in self._board.endpoints_by_id:
             return False
         self._dispatcher.report_load(current)
         self._publish_phase(current)
         return True
 
-    def hear_refusal(self, endpoint_id: str, reason: EndpointRefusal) -> None:
+    def record_refusal(self, endpoint_id: str, reason: EndpointRefusal) -> None:
         """Take an endpoint's own word that it is leaving, and pass it on."""
         if reason is not EndpointRefusal.LEAVING:
             return
         incarnation = self._phases.incarnation(endpoint_id)
-        if self.hear_leaving(endpoint_id, incarnation):
+        if self.mark_leaving(endpoint_id, incarnation):
             self._left(endpoint_id, incarnation)
 
-    def hear_leaving(self, endpoint_id: str, incarnation: int) -> bool:
+    def mark_leaving(self, endpoint_id: str, incarnation: int) -> bool:
         """Note that an endpoint is leaving; return whether that is news."""
-        is_news = self._phases.hear_leaving(endpoint_id, incarnation)
+        is_news = self._phases.mark_leaving(endpoint_id, incarnation)
         if is_news:
             self._log.info("endpoint_leaving", endpoint=endpoint_id)
             self._tell(endpoint_id)
--- a/cranberrywick/controllers/grants.py
+++ b/cranberrywick/controllers/grants.py
@@ -164,7 +164,7 @@
         for endpoint_id, ledger in self._ledgers_by_id.items():
             until = self._authority.until(self._shard_by_endpoint[endpoint_id])
             if until is not None:
-                ledger.note_authority(until, now)
+                ledger.record_authority(until, now)
 
     def _due_by_steward(self, now: float) -> dict[str, list[str]]:
         due_by_steward: dict[str, list[str]] = {}
@@ -279,7 +279,7 @@
 
     def _take_load(self, load: EndpointLoad, now: float) -> None:
         load = load._replace(reported_at=now - load.reported_at)
-        self._leases.note_load(load)
+        self._leases.record_load(load)
         self._events.load_received(load)
 
     def report_load(self, load: EndpointLoad) -> None:
@@ -293,9 +293,9 @@
         if ledger.limit < limit:
             self._cut(load.endpoint_id, ledger, now)
 
-    def note_trouble(self, endpoint_id: str, trouble: Trouble) -> None:
+    def record_trouble(self, endpoint_id: str, trouble: Trouble) -> None:
         """Stop using an endpoint that seems cold, and tell its steward."""
-        self._leases.note_trouble(endpoint_id, trouble, self._clock())
+        self._leases.record_trouble(endpoint_id, trouble, self._clock())
         self._is_dirty = True
 
     def _publish(self, now: float) -> None:
--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -132,9 +132,9 @@
         self._mark = mark
         self._send_notices()
 
-    def endpoint_left(self, leaving: LeavingEndpoint) -> None:
+    def announce_leaving(self, leaving: LeavingEndpoint) -> None:
         """Pass on that an endpoint takes no new work."""
-        if self._note_leaving(leaving):
+        if self._mark_leaving(leaving):
             self._send_notices()
 
     def leave(self) -> None:
@@ -189,7 +189,7 @@
             round=round,
             version=self._mark.version,
             digest=self._mark.digest,
-            members=tuple(self._membership.news_for(daemon_id, NEWS_IN_PING)),
+            members=tuple(self._membership.updates_for(daemon_id, NEWS_IN_PING)),
             leaving=self._leaving_news(),
         )
 
@@ -278,7 +278,7 @@
         for member in ping.members:
             self._membership.take_news(member, now)
         is_refuting = self._membership.myself.revision != revision
-        fresh = [leaving for leaving in ping.leaving if self._note_leaving(leaving)]
+        fresh = [leaving for leaving in ping.leaving if self._mark_leaving(leaving)]
         if isinstance(ping, Ack):
             self._take_ack(envelope.sender, ping.round)
         elif not isinstance(ping, Notice):
@@ -303,7 +303,7 @@
         mark = ConfigurationMark(ping.version, ping.digest)
         self._events.newer_configuration(member, mark)
 
-    def _note_leaving(self, leaving: LeavingEndpoint) -> bool:
+    def _mark_leaving(self, leaving: LeavingEndpoint) -> bool:
         known = self._leaving_by_id.get(leaving.endpoint_id, -1)
         if leaving.incarnation <= known:
             return False
@@ -325,9 +325,9 @@
                 del self._leaving_repeats_by_id[endpoint_id]
         return tuple(news)
 
-    def take_list(self, members: tuple[Member, ...]) -> None:
+    def merge_members(self, members: tuple[Member, ...]) -> None:
         """Take the whole list of a peer."""
-        self._membership.take_list(members, self._clock())
+        self._membership.merge_members(members, self._clock())
         self._publish()
 
     def _publish(self) -> None:
--- a/cranberrywick/controllers/orders.py
+++ b/cranberrywick/controllers/orders.py
@@ -11,7 +11,7 @@
 from cranberrywick.controllers.actor import Controller
 from cranberrywick.decisions.orders import (
     EngineView,
-    ModelWanted,
+    ModelDemand,
     Order,
     OrderPlanner,
     busy_limit,
@@ -19,7 +19,7 @@
 from cranberrywick.endpoints.orders import (
     EngineState,
     NotGiven,
-    OrderGiver,
+    OrderSender,
     fetch_engine_state,
 )
 from cranberrywick.errors import CranberrywickError
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        giver: OrderGiver,
+        order_sender: OrderSender,
         configuration: Callable[[], Configuration | None],
         endpoints: Callable[[], Mapping[str, Endpoint]],
         loads: Callable[[], Mapping[str, EndpointLoad]],
@@ -52,7 +52,7 @@
         clock: Callable[[], float] = time.monotonic,
     ):
         super().__init__()
-        self._giver = giver
+        self._order_sender = order_sender
         self._configuration = configuration
         self._endpoints = endpoints
         self._loads = loads
@@ -103,7 +103,7 @@
     def _give(self, endpoint: Endpoint, order: Order, limit: int) -> None:
         if self._clock() < self._paused_until:
             return
-        outcome = self._giver.give(endpoint, order, limit)
+        outcome = self._order_sender.give(endpoint, order, limit)
         self._log.info(
             "endpoint_order",
             endpoint=order.endpoint_id,
@@ -151,7 +151,7 @@
     configuration: Configuration,
     engines_by_id: Mapping[str, Endpoint],
     loads_by_id: Mapping[str, EndpointLoad],
-) -> list[ModelWanted]:
+) -> list[ModelDemand]:
     """Return the operators' models with how much their engines are used."""
     wanted = []
     for name, model in configuration.models_by_name.items():
@@ -163,5 +163,5 @@
         slots = sum(endpoint.slots for endpoint, _ in holders)
         used = sum(load.running + load.waiting for _, load in holders)
         utilisation = used / slots if slots else 0.0
-        wanted.append(ModelWanted(name, model.versions[0], model.adapters, utilisation))
+        wanted.append(ModelDemand(name, model.versions[0], model.adapters, utilisation))
     return wanted
--- a/cranberrywick/daemon.py
+++ b/cranberrywick/daemon.py
@@ -24,7 +24,7 @@
 from cranberrywick.decisions.orphans import Owner, OwnerState
 from cranberrywick.decisions.strategies import make_strategy
 from cranberrywick.dispatcher import Dispatcher
-from cranberrywick.endpoints.orders import OrderGiver
+from cranberrywick.endpoints.orders import OrderSender
 from cranberrywick.endpoints.relay import Relay
 from cranberrywick.errors import CranberrywickError
 from cranberrywick.external.budget import BudgetedKeyValueStore
@@ -97,7 +97,7 @@
             self._log,
             listed=self._endpoints_listed,
             heard=self._peers.report_load,
-            left=self._peers.endpoint_left,
+            left=self._peers.announce_leaving,
         ).proxy()
         self._sweeper = ControllerHandle(
             SweepController, self._own_engines, self._owner_state
@@ -138,7 +138,7 @@
         weights = WeightStore(self._settings.weight_store)
         return ControllerHandle(
             OrderController,
-            OrderGiver(self._store, weights, self._settings.daemon_id),
+            OrderSender(self._store, weights, self._settings.daemon_id),
             self._configuration_in_force,
             lambda: self._board.endpoints_by_id,
             lambda: self._board.loads_by_id,
@@ -173,7 +173,7 @@
             self._relay,
             self._board,
             self._name_owner,
-            self._hear_refusal,
+            self._record_refusal,
         )
         return FilterChain([record, IdentifyFilter(), *own_filters, dispatch])
 
@@ -182,7 +182,7 @@
         self._configuration.on_change(self._configuration_changed)
         self._peers.on_configuration(self._configuration_from_peer)
         self._peers.on_shares(self._dispatcher.set_shares)
-        self._peers.on_load(lambda load: self._endpoints.hear_peer_load(load))
+        self._peers.on_load(lambda load: self._endpoints.record_peer_load(load))
         self._peers.on_stewarded(self._stewarded_changed)
         # The platform's rates are for the fleet, and each daemon takes its part.
         self._peers.on_membership(
@@ -252,12 +252,12 @@
         )
 
     def _endpoint_leaving(self, leaving: LeavingEndpoint) -> None:
-        self._endpoints.hear_leaving(leaving.endpoint_id, leaving.incarnation)
+        self._endpoints.mark_leaving(leaving.endpoint_id, leaving.incarnation)
 
-    def _hear_refusal(self, endpoint_id: str, reason: EndpointRefusal) -> None:
-        self._endpoints.hear_refusal(endpoint_id, reason)
+    def _record_refusal(self, endpoint_id: str, reason: EndpointRefusal) -> None:
+        self._endpoints.record_refusal(endpoint_id, reason)
         if reason is EndpointRefusal.COLD:
-            self._peers.note_trouble(endpoint_id, Trouble.COLD)
+            self._peers.record_trouble(endpoint_id, Trouble.COLD)
 
     def _daemon_addresses(self) -> list[str]:
         members = self._peers.snapshot.members_by_id.values()
--- a/cranberrywick/decisions/endpoint_phases.py
+++ b/cranberrywick/decisions/endpoint_phases.py
@@ -22,7 +22,7 @@
     """Merges what is said of the endpoints' phases.
 
     >>> phases = EndpointPhases()
-    >>> phases.hear_leaving("e1", incarnation=1)
+    >>> phases.mark_leaving("e1", incarnation=1)
     True
     >>> phases.is_leaving("e1")
     True
@@ -45,21 +45,21 @@
         left = self._left_by_endpoint.get(endpoint_id)
         return left is not None and left >= self.incarnation(endpoint_id)
 
-    def hear_leaving(self, endpoint_id: str, incarnation: int) -> bool:
+    def mark_leaving(self, endpoint_id: str, incarnation: int) -> bool:
         """Note that an incarnation is leaving; return whether that is news."""
         if self._left_by_endpoint.get(endpoint_id, -1) >= incarnation:
             return False
         self._left_by_endpoint[endpoint_id] = incarnation
         return True
 
-    def hear_load(self, load: EndpointLoad) -> EndpointLoad | None:
+    def record_load(self, load: EndpointLoad) -> EndpointLoad | None:
         """Take a report; return what it means now, or None where it is outdated."""
         known = self._load_by_endpoint.get(load.endpoint_id)
         if known is not None and self._is_outdated(load, known):
             return None
         self._load_by_endpoint[load.endpoint_id] = load
         if load.phase is EndpointPhase.LEAVING:
-            self.hear_leaving(load.endpoint_id, load.incarnation)
+            self.mark_leaving(load.endpoint_id, load.incarnation)
         return self._with_phase(load)
 
     def _is_outdated(self, load: EndpointLoad, known: EndpointLoad) -> bool:
--- a/cranberrywick/decisions/fleet.py
+++ b/cranberrywick/decisions/fleet.py
@@ -120,16 +120,16 @@
             return False
         self._load = load
         if load.phase in (EndpointPhase.LEAVING, EndpointPhase.GONE):
-            self.note_leaving()
+            self.mark_leaving()
         if load.phase is EndpointPhase.COLD or load.reported_at > self._cold_seen_at:
             self.phase = load.phase
         return is_new
 
-    def note_leaving(self) -> None:
+    def mark_leaving(self) -> None:
         """The first word that it leaves wins, until a new incarnation."""
         self._leaving_incarnation = self._incarnation
 
-    def note_cold(self, now: float) -> None:
+    def mark_cold(self, now: float) -> None:
         """It refused as cold: reports from before that moment are out of date."""
         self._cold_seen_at = now
         self.phase = EndpointPhase.COLD
--- a/cranberrywick/decisions/gangs.py
+++ b/cranberrywick/decisions/gangs.py
@@ -190,7 +190,7 @@
 
     def taken(self, reservation_id: str) -> None:
         """Note that the engine holds the step's reservation."""
-        self._note(reservation_id)
+        self._record(reservation_id)
 
     def refused(self) -> None:
         """Note that the engine holds nothing for the step; the gang has failed."""
@@ -198,7 +198,7 @@
 
     def unknown(self) -> None:
         """Note that the answer was lost: held or not, it has to be given back."""
-        self._note(None)
+        self._record(None)
         self._failed = True
 
     def to_release(self) -> tuple[Held, ...]:
@@ -210,7 +210,7 @@
         self._failed = True
         self._held.remove(held)
 
-    def _note(self, reservation_id: str | None) -> None:
+    def _record(self, reservation_id: str | None) -> None:
         step = self.next_step()
         if step is None:
             raise ValueError("no reservation is being made")
--- a/cranberrywick/decisions/grants.py
+++ b/cranberrywick/decisions/grants.py
@@ -169,7 +169,7 @@
         """The sum of what holders may think they have."""
         return sum(lease.in_force(now) for lease in self._leases_by_holder.values())
 
-    def note_authority(self, authority_until: float, now: float) -> None:
+    def record_authority(self, authority_until: float, now: float) -> None:
         """Note that the platform's lease is held here; call at least each second.
 
         Reports count from the moment that the lease is first known to be held.
@@ -284,7 +284,7 @@
             return self._decide_warm(holder, lease, now)
         if authority_until is None:
             return NOTHING
-        self.note_authority(authority_until, now)
+        self.record_authority(authority_until, now)
         if self._unexplained is None:
             return NOTHING
         lifetime = min(LEASE_SECONDS, authority_until - now)
--- a/cranberrywick/decisions/leases.py
+++ b/cranberrywick/decisions/leases.py
@@ -192,7 +192,7 @@
         held.slots = min(held.slots, slots)
         held.must_ask = True
 
-    def note_trouble(self, endpoint_id: str, trouble: Trouble, now: float) -> None:
+    def record_trouble(self, endpoint_id: str, trouble: Trouble, now: float) -> None:
         """Stop sending to an endpoint that seems cold, until its steward answers.
 
         The steward's next report may be a second away, and each request in between
@@ -205,7 +205,7 @@
         held.trouble_at = now
         self.cut(endpoint_id, 0)
 
-    def note_load(self, load: EndpointLoad) -> None:
+    def record_load(self, load: EndpointLoad) -> None:
         """Take the report that came with an answer."""
         held = self._held_by_id.get(load.endpoint_id)
         if held is None:
--- a/cranberrywick/decisions/membership.py
+++ b/cranberrywick/decisions/membership.py
@@ -263,7 +263,7 @@
     def _repeats(self) -> int:
         return REPEATS_FACTOR * math.ceil(math.log2(len(self._members_by_id) + 1))
 
-    def news_for(self, daemon_id: str, limit: int) -> list[Member]:
+    def updates_for(self, daemon_id: str, limit: int) -> list[Member]:
         """Return what to tell this member, least told first.
 
         What is thought ill of the member itself comes before all, so that it can
@@ -286,7 +286,7 @@
         else:
             self._repeats_by_id[daemon_id] = left - 1
 
-    def take_list(self, members: Iterable[Member], now: float) -> None:
+    def merge_members(self, members: Iterable[Member], now: float) -> None:
         """Take a peer's whole list.
 
         What is new in it is not passed on as news: whoever gave the list does so.
--- a/cranberrywick/decisions/orders.py
+++ b/cranberrywick/decisions/orders.py
@@ -30,7 +30,7 @@
 
 __all__ = [
     "EngineView",
-    "ModelWanted",
+    "ModelDemand",
     "Order",
     "OrderKind",
     "OrderPlanner",
@@ -86,7 +86,7 @@
         return self.phase is not EndpointPhase.WARM
 
 
-class ModelWanted(NamedTuple):
+class ModelDemand(NamedTuple):
     """A model as the operators want it; ``utilisation`` is of its engines now."""
 
     name: str
@@ -101,7 +101,7 @@
     Daemons that see the same plan the same, in the order of endpoints' names.
 
     >>> planner = OrderPlanner()
-    >>> planner.plan(engines, [ModelWanted("drafter", "2", (), 0.4)], now=0.0)
+    >>> planner.plan(engines, [ModelDemand("drafter", "2", (), 0.4)], now=0.0)
     [Order(endpoint_id='engine-1', kind=<OrderKind.LOAD_MODEL: 'load_model'>, ...)]
     """
 
@@ -113,7 +113,7 @@
     def plan(
         self,
         engines: Sequence[EngineView],
-        models: Sequence[ModelWanted],
+        models: Sequence[ModelDemand],
         now: float,
         may_move: bool = True,
     ) -> list[Order]:
@@ -137,7 +137,7 @@
     def _moves(
         self,
         engines: Sequence[EngineView],
-        wanted_by_name: Mapping[str, ModelWanted],
+        wanted_by_name: Mapping[str, ModelDemand],
         now: float,
     ) -> dict[str, Order]:
         """Return at most one order that moves an engine to another model."""
@@ -166,7 +166,7 @@
             if now - seen_at >= GAP_SECONDS
         )
 
-    def _gap_lasts(self, idle: ModelWanted, busy: ModelWanted, now: float) -> bool:
+    def _gap_lasts(self, idle: ModelDemand, busy: ModelDemand, now: float) -> bool:
         pair = (idle.name, busy.name)
         is_gap = (
             busy.utilisation > BUSY_UTILISATION and idle.utilisation < IDLE_UTILISATION
@@ -180,7 +180,7 @@
         self,
         model: str,
         engines: Sequence[EngineView],
-        wanted_by_name: Mapping[str, ModelWanted],
+        wanted_by_name: Mapping[str, ModelDemand],
         now: float,
         source: str | None,
     ) -> dict[str, Order]:
@@ -213,7 +213,7 @@
 
 
 def _repair(
-    engine: EngineView, wanted_by_name: Mapping[str, ModelWanted]
+    engine: EngineView, wanted_by_name: Mapping[str, ModelDemand]
 ) -> Order | None:
     """Return what brings an engine to the wanted version, adapters and role."""
     for name, version in sorted(engine.version_by_model.items()):
--- a/cranberrywick/decisions/outcomes.py
+++ b/cranberrywick/decisions/outcomes.py
@@ -83,9 +83,9 @@
     ) -> None:
         """Note what the failure says of the endpoint, and that it was tried."""
         if result.leaving:
-            state.note_leaving()
+            state.mark_leaving()
         elif result.cold:
-            state.note_cold(now)
+            state.mark_cold(now)
         else:
             self._slow.failed(state.endpoint_id, job.work.work_id, now)
         job.attempts = job.attempts.with_failure(
--- a/cranberrywick/endpoints/cancel.py
+++ b/cranberrywick/endpoints/cancel.py
@@ -60,7 +60,7 @@
         self._lock = threading.Lock()  # guards the times
         self._time_by_address: dict[str, float] = {}
 
-    def note(self, address: str) -> None:
+    def record(self, address: str) -> None:
         """Note that something was given back at an engine."""
         with self._lock:
             self._time_by_address[address] = self._clock()
@@ -113,10 +113,10 @@
 _canceller = Canceller()
 _cleanups = Cleanups()
 recent_cleanups = _cleanups.recent
-note_cleanup = _cleanups.note
+note_cleanup = _cleanups.record
 
 
 def cancel_later(address: str, stream_id: str) -> bool:
     """Queue a cancel and have the engine looked at by the next sweeps."""
-    _cleanups.note(address)
+    _cleanups.record(address)
     return _canceller.submit(address, stream_id)
--- a/cranberrywick/endpoints/client.py
+++ b/cranberrywick/endpoints/client.py
@@ -19,8 +19,8 @@
 from cranberrywick.model import EndpointRefusal
 
 __all__ = [
-    "MAX_ANSWER_BYTES",
     "COMPLETIONS_PATH",
+    "MAX_ANSWER_BYTES",
     "Answer",
     "Call",
     "send",
--- a/cranberrywick/endpoints/orders.py
+++ b/cranberrywick/endpoints/orders.py
@@ -38,8 +38,8 @@
     "HeldByOther",
     "InForce",
     "NotGiven",
-    "OrderGiver",
     "OrderOutcome",
+    "OrderSender",
     "Unconfirmed",
     "fetch_engine_state",
 ]
@@ -124,13 +124,14 @@
     asked_at: float
 
 
-class OrderGiver:
+class OrderSender:
     """Gives one order after another; each call may take several seconds.
 
     ``clock`` is monotonic; ``before_send`` is called between the last check and the
     send, for tests to pause there.
 
-    >>> giver.give(endpoint, Order("engine-1", OrderKind.LOAD_MODEL, "drafter", "2"))
+    >>> order = Order("engine-1", OrderKind.LOAD_MODEL, "drafter", "2")
+    >>> order_sender.give(endpoint, order)
     InForce(incarnation=3, was_ordered=True)
     """
 
--- a/cranberrywick/errors.py
+++ b/cranberrywick/errors.py
@@ -11,10 +11,10 @@
 __all__ = [
     "AmbiguousSend",
     "AnswerLost",
-    "EndpointFailed",
     "CallerGone",
     "CranberrywickError",
     "Draining",
+    "EndpointFailed",
     "EndpointRefused",
     "EntryUnreachable",
     "ErrorBody",
--- a/cranberrywick/external/budget.py
+++ b/cranberrywick/external/budget.py
@@ -230,7 +230,7 @@
             self._apply_share(now)
             wait = bucket.take(now)
             if wait > WAIT_MAXIMUM_SECONDS:
-                bucket.give_back()
+                bucket.refund()
                 self._refused_by_kind[kind] += 1
                 raise RateLimited("over this daemon's part", retry_after=wait)
             self._calls_by_kind[kind] += 1
--- a/cranberrywick/external/exchange.py
+++ b/cranberrywick/external/exchange.py
@@ -11,7 +11,7 @@
 
 from cranberrywick.errors import PlatformUnavailable
 
-__all__ = ["AmbiguousWrite", "Exchange", "RateLimited", "Reply", "no_answer"]
+__all__ = ["AmbiguousWrite", "Exchange", "RateLimited", "Reply", "no_answer_error"]
 
 # The service answers in milliseconds; a second without an answer is an outage.
 CONNECT_TIMEOUT_SECONDS = 1.0
@@ -118,7 +118,7 @@
         except NewConnectionError as error:
             raise _NotReached(f"{url}: {error}") from error
         except (HTTPError, OSError) as error:
-            raise no_answer(method, f"{url}: {error}") from error
+            raise no_answer_error(method, f"{url}: {error}") from error
         return _decode(method, url, response, data)
 
 
@@ -126,7 +126,7 @@
     """No connection: nothing was sent, so another address may be tried."""
 
 
-def no_answer(method: str, message: str) -> PlatformUnavailable:
+def no_answer_error(method: str, message: str) -> PlatformUnavailable:
     """Return the failure of a call that was sent and not answered usefully."""
     kind = PlatformUnavailable if method == "GET" else AmbiguousWrite
     return kind(message, retry_after=RETRY_AFTER_SECONDS)
@@ -140,13 +140,13 @@
         wait = _retry_after(response.headers.get("Retry-After"))
         raise RateLimited(f"{url}: rate limit", retry_after=wait)
     if status >= 500:
-        raise no_answer(method, f"{url}: status {status}")
+        raise no_answer_error(method, f"{url}: status {status}")
     try:
         fields = json.loads(data)
     except ValueError as error:
-        raise no_answer(method, f"{url}: answer is not JSON") from error
+        raise no_answer_error(method, f"{url}: answer is not JSON") from error
     if not isinstance(fields, dict):
-        raise no_answer(method, f"{url}: answer is not a JSON object")
+        raise no_answer_error(method, f"{url}: answer is not a JSON object")
     return Reply(status, fields)
 
 
--- a/cranberrywick/external/key_value.py
+++ b/cranberrywick/external/key_value.py
@@ -15,7 +15,7 @@
     Exchange,
     RateLimited,
     Reply,
-    no_answer,
+    no_answer_error,
 )
 
 __all__ = [
@@ -274,7 +274,7 @@
     try:
         return read(*args)
     except (KeyError, TypeError, ValueError) as error:
-        raise no_answer(method, f"malformed answer: {error!r}") from error
+        raise no_answer_error(method, f"malformed answer: {error!r}") from error
 
 
 def _raise_conflict(key: str, reply: Reply) -> None:
--- a/cranberrywick/filters/dispatch.py
+++ b/cranberrywick/filters/dispatch.py
@@ -72,14 +72,14 @@
         relay: Relay,
         board: EndpointBoard,
         name_owner: Callable[[str], str],
-        hear_refusal: Callable[[str, EndpointRefusal], None],
+        record_refusal: Callable[[str, EndpointRefusal], None],
         clock: Callable[[], float] = time.monotonic,
     ):
         self._dispatcher = dispatcher
         self._relay = relay
         self._board = board
         self._name_owner = name_owner
-        self._hear_refusal = hear_refusal
+        self._record_refusal = record_refusal
         self._clock = clock
 
     def enter(self, exchange: Exchange) -> None:
@@ -270,7 +270,7 @@
     ) -> Settled | Retry | Refused:
         reason = error.reason if isinstance(error, EndpointRefused) else None
         if reason is not None:
-            self._hear_refusal(attempt.endpoint_id, reason)
+            self._record_refusal(attempt.endpoint_id, reason)
         result = SendResult(
             endpoint_id=attempt.endpoint_id,
             succeeded=False,
--- a/cranberrywick/gateway/events.py
+++ b/cranberrywick/gateway/events.py
@@ -30,7 +30,7 @@
         end = max(_end_after(held, b"\n\n"), _end_after(held, b"\r\n\r\n"))
         whole, self._rest = held[:end], held[end:]
         if whole:
-            self._note(whole)
+            self._record(whole)
         return whole
 
     @property
@@ -43,7 +43,7 @@
         rest, self._rest = self._rest, b""
         return rest
 
-    def _note(self, whole: bytes) -> None:
+    def _record(self, whole: bytes) -> None:
         for line in whole.splitlines():
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
--- a/cranberrywick/gateway/fleet_link.py
+++ b/cranberrywick/gateway/fleet_link.py
@@ -43,17 +43,17 @@
 class FleetLink(asyncio.DatagramProtocol):
     """One UDP socket and one TCP listener on the same port.
 
-    ``hear`` gets each valid datagram's message and its sender's address; ``answer``
+    ``receive`` gets each valid datagram's message and its sender's address; ``answer``
     returns what a peer that asks is told, or None while there is nothing to tell.
     """
 
     def __init__(
         self,
-        hear: Callable[[Envelope, str], None],
+        receive: Callable[[Envelope, str], None],
         answer: Callable[[Wanted], Message | None],
         log: EventLog,
     ):
-        self._hear = hear
+        self._receive = receive
         self._answer = answer
         self._log = log
         self._loop = asyncio.get_running_loop()
@@ -108,14 +108,14 @@
         """Called by asyncio."""
         try:
             envelope = decode_message(data, self._loop.time())
-            self._hear(envelope, "{}:{}".format(*address))
+            self._receive(envelope, "{}:{}".format(*address))
         except PeerMessageInvalid as error:
-            self._note_invalid(error)
+            self._record_invalid(error)
 
     def error_received(self, error: Exception) -> None:
         """Called by asyncio: a peer's port is closed, which its silence shows too."""
 
-    def _note_invalid(self, error: PeerMessageInvalid) -> None:
+    def _record_invalid(self, error: PeerMessageInvalid) -> None:
         self._invalid.warning("peer_message_invalid", error=error)
 
     async def fetch(
@@ -128,7 +128,7 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             self._log.warning("peer_fetch_failed", peer=address, error=error)
         except PeerMessageInvalid as error:
-            self._note_invalid(error)
+            self._record_invalid(error)
         return None
 
     async def _fetch(
@@ -164,7 +164,7 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             self._log.debug("peer_request_broken", error=error)
         except PeerMessageInvalid as error:
-            self._note_invalid(error)
+            self._record_invalid(error)
         finally:
             self._served -= 1
             writer.close()
--- a/cranberrywick/gateway/fleet_news.py
+++ b/cranberrywick/gateway/fleet_news.py
@@ -93,7 +93,7 @@
         self._sequence = 0
         port = settings.internal_ports[0]
         self.peer_address = f"{settings.ip}:{port}"
-        self.link = FleetLink(self._hear, listener.answer, log)
+        self.link = FleetLink(self._receive, listener.answer, log)
         contact = settings.bounds.contact_seconds
         self.members = Members(settings.daemon_id, contact)
         self.load = FleetLoad()
@@ -238,7 +238,7 @@
 
     # Hearing
 
-    def _hear(self, envelope: Envelope, source: str) -> None:
+    def _receive(self, envelope: Envelope, source: str) -> None:
         self._take_message(envelope, source)
         # One line for all: a fleet that starts at once meets everybody in one moment.
         for listed in id_lists(self._met_ids):
@@ -249,9 +249,9 @@
         now = self._loop.time()
         message, scope = envelope
         if isinstance(message, Heartbeat):
-            self._hear_directly(message, scope, now)
+            self._receive_directly(message, scope, now)
         elif isinstance(message, RelayNews):
-            self._recipients.relays.heard(message.relay_id, message.relay_domain, now)
+            self._recipients.relays.receive(message.relay_id, message.relay_domain, now)
             for news in message.heartbeats:
                 if self._take(news.heartbeat, news.heard_at):
                     self._relaying.pass_on(news, scope)
@@ -264,7 +264,7 @@
         elif isinstance(message, PermitResponse):
             self.permits.take(message)
 
-    def _hear_directly(self, heartbeat: Heartbeat, scope: Scope, now: float) -> None:
+    def _receive_directly(self, heartbeat: Heartbeat, scope: Scope, now: float) -> None:
         known = self.members.members_by_id.get(heartbeat.daemon_id)
         # A restarted daemon knows nothing, though it has been known here for long.
         is_new = known is None or known.heartbeat.incarnation != heartbeat.incarnation
@@ -292,19 +292,19 @@
     def _take(self, heartbeat: Heartbeat, heard_at: float) -> bool:
         daemon_id = heartbeat.daemon_id
         is_unknown = daemon_id not in self.members.members_by_id
-        if not self.members.hear(heartbeat, heard_at):
+        if not self.members.receive(heartbeat, heard_at):
             return False
         if is_unknown:
             self._met_ids.append(daemon_id)
-        self.load.hear(daemon_id, heartbeat.jobs, heard_at)
-        self.paces.hear(heartbeat.slow_engines, heard_at)
-        self._hear_limits(heartbeat)
+        self.load.receive(daemon_id, heartbeat.jobs, heard_at)
+        self.paces.receive(heartbeat.slow_engines, heard_at)
+        self._receive_limits(heartbeat)
         self._listener.heartbeat_heard(heartbeat, heard_at)
         return True
 
-    def _hear_limits(self, heartbeat: Heartbeat) -> None:
+    def _receive_limits(self, heartbeat: Heartbeat) -> None:
         for report in heartbeat.limits:
-            change = self.limits.hear(report)
+            change = self.limits.receive(report)
             if change is not None:
                 self._log.info(
                     "endpoint_limit_changed",
@@ -314,8 +314,8 @@
 
     def _look(self) -> None:
         now = self._loop.time()
-        for daemon_id in self.members.look(now):
+        for daemon_id in self.members.detect_silent(now):
             self._log.warning("peer_silent", peer=daemon_id)
         if self.members.was_paused:
-            self._recipients.relays.excuse(now)
-        self.load.forget_silent(now)
+            self._recipients.relays.discount_pause(now)
+        self.load.evict_silent(now)
--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -133,7 +133,7 @@
         if exchange.meta.deadline_seconds is not None:
             allowed = min(allowed, exchange.meta.deadline_seconds)
         exchange.deadline = exchange.request.arrived + allowed
-        self._budget.note_request(service.name, self._loop.time())
+        self._budget.record_request(service.name, self._loop.time())
 
     async def _serve(self, exchange: Exchange) -> None:
         """Try endpoints until one has answered."""
--- a/cranberrywick/gateway/late_metrics.py
+++ b/cranberrywick/gateway/late_metrics.py
@@ -44,30 +44,30 @@
 
     def request_ended(self, class_name: str, outcome: str, seconds: float) -> None:
         """Count a request that ended; ``outcome`` is "completed" or an error's type."""
-        self._note(methodcaller("request_ended", class_name, outcome, seconds))
+        self._record(methodcaller("request_ended", class_name, outcome, seconds))
 
     def first_token(self, class_name: str, prompt_tokens: int, seconds: float) -> None:
         """Note the time from arrival to the first token."""
-        self._note(methodcaller("first_token", class_name, prompt_tokens, seconds))
+        self._record(methodcaller("first_token", class_name, prompt_tokens, seconds))
 
     def queue_wait(self, class_name: str, seconds: float) -> None:
         """Note how long a request waited before it was sent or refused."""
-        self._note(methodcaller("queue_wait", class_name, seconds))
+        self._record(methodcaller("queue_wait", class_name, seconds))
 
     def limit_named(self, class_name: str) -> None:
         """Count an answer in which an endpoint named a rate limit."""
-        self._note(methodcaller("limit_named", class_name))
+        self._record(methodcaller("limit_named", class_name))
 
     def permit_asked(self, class_name: str, granted: bool, seconds: float) -> None:
         """Note a request that needed a permit, and how long it waited for it."""
-        self._note(methodcaller("permit_asked", class_name, granted, seconds))
+        self._record(methodcaller("permit_asked", class_name, granted, seconds))
 
     async def render(self) -> Rendered:
         """Return all that was noted."""
         metrics = await self._load()
         return Rendered(metrics.render(), metrics.content_type)
 
-    def _note(self, note: Callable[["Metrics"], None]) -> None:
+    def _record(self, note: Callable[["Metrics"], None]) -> None:
         if self._metrics is not None:
             note(self._metrics)
             return
--- a/cranberrywick/gateway/observations.py
+++ b/cranberrywick/gateway/observations.py
@@ -49,13 +49,13 @@
         declared = profile.stride * profile.step_seconds if profile else 0.0
         pauses = StreamPauses(declared)
 
-        def note(endpoint_id: str, seconds: float) -> None:
+        def record(endpoint_id: str, seconds: float) -> None:
             # What the engine is known to read meanwhile says nothing of its pace.
-            pace = pauses.note(seconds - self._state.load.reading_at(endpoint_id))
+            pace = pauses.record(seconds - self._state.load.reading_at(endpoint_id))
             if pace is not None:
                 self._note_pace(exchange, endpoint_id, pace)
 
-        return note
+        return record
 
     def _note_pace(self, exchange: Exchange, endpoint_id: str, pace: float) -> None:
         news = self._state.news
--- a/cranberrywick/gateway/permits.py
+++ b/cranberrywick/gateway/permits.py
@@ -77,7 +77,7 @@
     def answer(self, request: PermitRequest, source: str) -> None:
         """Answer a daemon that asks this one as a steward."""
         now = self._loop.time()
-        change = self._limits.hear(request.limit)
+        change = self._limits.receive(request.limit)
         if change is not None:
             self._log.info("endpoint_limit_changed", **change.log_fields, peer=source)
         permit = self._limits.grant(request.limit.endpoint_id, request.terms, now)
@@ -95,7 +95,7 @@
         terms = self._limits.terms(endpoint_id, longest_wait, now)
         if steward is None:
             permit = self._limits.grant(endpoint_id, terms, now)
-            self._limits.note_permit(endpoint_id, permit, now)
+            self._limits.record_permit(endpoint_id, permit, now)
             return self._daemon_id, permit
         self._number += 1
         limit = self._limits.report(endpoint_id)
@@ -103,12 +103,12 @@
         permit = await self._ask_peer(request, steward.peer_address)
         now = self._loop.time()
         if permit is None:
-            self._limits.note_unanswered(endpoint_id, now)
+            self._limits.record_unanswered(endpoint_id, now)
             self._unanswered.warning(
                 "permit_unanswered", endpoint=endpoint_id, steward=steward.daemon_id
             )
             return steward.daemon_id, Permit(False, 0.0, 0.0)
-        self._limits.note_permit(endpoint_id, permit, now)
+        self._limits.record_permit(endpoint_id, permit, now)
         return steward.daemon_id, permit
 
     async def _ask_peer(self, request: PermitRequest, address: str) -> Permit | None:
--- a/cranberrywick/gateway/permitted_places.py
+++ b/cranberrywick/gateway/permitted_places.py
@@ -51,7 +51,7 @@
             )
             if admission.steward:
                 seconds = self._loop.time() - asked_at
-                self._note_permit(exchange, placement.endpoint_id, admission, seconds)
+                self._record_permit(exchange, placement.endpoint_id, admission, seconds)
             if admission.granted:
                 if exchange.placed_at is None:
                     exchange.placed_at = self._loop.time()
@@ -63,7 +63,7 @@
             retry_after=self._waiting.limited_retry_seconds(service, 0.0),
         )
 
-    def _note_permit(
+    def _record_permit(
         self,
         exchange: Exchange,
         endpoint_id: str,
--- a/cranberrywick/gateway/state.py
+++ b/cranberrywick/gateway/state.py
@@ -40,8 +40,8 @@
 from cranberrywick.routing.usable import (
     Restrictions,
     is_usable,
-    last_moment,
     last_resort,
+    usable_until,
 )
 
 __all__ = ["FleetState"]
@@ -176,7 +176,7 @@
             return False
         if not as_last_resort:
             return is_usable(belief, self.domains_out)
-        return self._loop.time() < last_moment(belief, self.restrictions)
+        return self._loop.time() < usable_until(belief, self.restrictions)
 
     @property
     def ready(self) -> bool:
--- a/cranberrywick/peers/node.py
+++ b/cranberrywick/peers/node.py
@@ -234,18 +234,18 @@
         """Take a report that this daemon, as the endpoint's steward, asked for."""
         self._grants.tell(GrantsController.report_load, load)
 
-    def note_trouble(self, endpoint_id: str, trouble: Trouble) -> None:
+    def record_trouble(self, endpoint_id: str, trouble: Trouble) -> None:
         """Stop using an endpoint that seems cold, and tell its steward."""
-        self._grants.tell(GrantsController.note_trouble, endpoint_id, trouble)
+        self._grants.tell(GrantsController.record_trouble, endpoint_id, trouble)
 
     def demand_rose(self) -> None:
         """Ask for slots now and not at the next tick; cheap to call often."""
         self._grants.tell(GrantsController.tick)
 
-    def endpoint_left(self, endpoint_id: str, incarnation: int) -> None:
+    def announce_leaving(self, endpoint_id: str, incarnation: int) -> None:
         """Pass on that an endpoint takes no new work."""
         self._membership.tell(
-            MembershipController.endpoint_left,
+            MembershipController.announce_leaving,
             LeavingEndpoint(endpoint_id, incarnation),
         )
 
@@ -272,7 +272,7 @@
         try:
             opened = self._session.open(frame)
         except PeerMessageInvalid as error:
-            self._note_invalid(error)
+            self._record_invalid(error)
             return
         if self._is_behind():
             return
@@ -291,7 +291,7 @@
     def _is_behind(self) -> bool:
         return max(self._membership.waiting, self._grants.waiting) > MAX_INBOX
 
-    def _note_invalid(self, error: PeerMessageInvalid) -> None:
+    def _record_invalid(self, error: PeerMessageInvalid) -> None:
         # A stranger can send thousands a second; a line for each would be the
         # larger harm.
         self._invalid_count += 1
@@ -308,7 +308,7 @@
         try:
             opened = self._session.open(frame)
         except PeerMessageInvalid as error:
-            self._note_invalid(error)
+            self._record_invalid(error)
             return None
         envelope = opened.envelope
         if isinstance(opened, Introduction):
@@ -337,10 +337,10 @@
             self._fetch_list_of(self._rng.choice(others))
 
     def _fetch_list_of(self, member: Member) -> None:
-        self._fetcher.start(member, FetchKind.MEMBERS, self._take_list)
+        self._fetcher.start(member, FetchKind.MEMBERS, self._merge_members)
 
-    def _take_list(self, answer: Answer) -> None:
-        self._membership.tell(MembershipController.take_list, answer.members)
+    def _merge_members(self, answer: Answer) -> None:
+        self._membership.tell(MembershipController.merge_members, answer.members)
 
     def _fetch_configuration(self, member: Member, mark: ConfigurationMark) -> None:
         use = partial(call_all, self._configuration_callbacks)
--- a/cranberrywick/routing/endpoint_limits.py
+++ b/cranberrywick/routing/endpoint_limits.py
@@ -54,13 +54,13 @@
         }
 
 
-class _Belief(NamedTuple):
+class _Observation(NamedTuple):
     rate: float
     seen_at: float
     is_own: bool
 
 
-_NEVER_SEEN = _Belief(inf, -inf, is_own=False)
+_NEVER_SEEN = _Observation(inf, -inf, is_own=False)
 
 
 class EndpointLimits:
@@ -74,63 +74,63 @@
     """
 
     def __init__(self) -> None:
-        self._beliefs_by_id: dict[str, _Belief] = {}
+        self._observations_by_id: dict[str, _Observation] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._beliefs_by_id)
+        return bool(self._observations_by_id)
 
     def observe(self, endpoint_id: str, rate: float, now: float) -> LimitChange | None:
         """Take what an answer to this daemon says; return what it changes."""
-        if isfinite(rate) or endpoint_id in self._beliefs_by_id:
-            return self._take(endpoint_id, _Belief(rate, now, is_own=True))
+        if isfinite(rate) or endpoint_id in self._observations_by_id:
+            return self._take(endpoint_id, _Observation(rate, now, is_own=True))
         return None
 
-    def hear(self, report: LimitReport) -> LimitChange | None:
+    def receive(self, report: LimitReport) -> LimitChange | None:
         """Take what a peer tells; return what it changes."""
-        known = self._beliefs_by_id.get(report.endpoint_id)
+        known = self._observations_by_id.get(report.endpoint_id)
         if known is None and report.rate == inf:
             return None
         if known is not None and report.seen_at <= known.seen_at:
             return None
-        belief = _Belief(report.rate, report.seen_at, is_own=False)
+        belief = _Observation(report.rate, report.seen_at, is_own=False)
         return self._take(report.endpoint_id, belief)
 
-    def _take(self, endpoint_id: str, belief: _Belief) -> LimitChange | None:
+    def _take(self, endpoint_id: str, belief: _Observation) -> LimitChange | None:
         previous = self.rate(endpoint_id)
-        self._beliefs_by_id[endpoint_id] = belief
+        self._observations_by_id[endpoint_id] = belief
         if belief.rate == previous:
             return None
         return LimitChange(endpoint_id, belief.rate, previous)
 
     def rate(self, endpoint_id: str) -> float:
         """Return an endpoint's limit; infinity without one."""
-        return self._beliefs_by_id.get(endpoint_id, _NEVER_SEEN).rate
+        return self._observations_by_id.get(endpoint_id, _NEVER_SEEN).rate
 
     def age(self, endpoint_id: str, now: float) -> float:
         """Return how long ago the newest answer was seen; infinity without any."""
-        return now - self._beliefs_by_id.get(endpoint_id, _NEVER_SEEN).seen_at
+        return now - self._observations_by_id.get(endpoint_id, _NEVER_SEEN).seen_at
 
     @property
     def limited_ids(self) -> list[str]:
         """The endpoints that have a limit."""
-        return [i for i, b in self._beliefs_by_id.items() if isfinite(b.rate)]
+        return [i for i, b in self._observations_by_id.items() if isfinite(b.rate)]
 
     def report(self, endpoint_id: str) -> LimitReport:
         """Return what is known of an endpoint's limit."""
-        belief = self._beliefs_by_id.get(endpoint_id, _NEVER_SEEN)
+        belief = self._observations_by_id.get(endpoint_id, _NEVER_SEEN)
         return LimitReport(endpoint_id, belief.rate, belief.seen_at)
 
     def recent_ids(self, now: float) -> list[str]:
         """Return the endpoints of which this daemon's own answers told lately."""
         return [
             endpoint_id
-            for endpoint_id, belief in self._beliefs_by_id.items()
+            for endpoint_id, belief in self._observations_by_id.items()
             if belief.is_own and now - belief.seen_at <= REPORT_SECONDS
         ]
 
     def forget(self, registered_ids: Set[str], now: float) -> None:
         """Drop endpoints that are gone, and limits that ended long ago."""
-        for endpoint_id, belief in list(self._beliefs_by_id.items()):
+        for endpoint_id, belief in list(self._observations_by_id.items()):
             is_over = belief.rate == inf and now - belief.seen_at > ENDED_SECONDS
             if is_over or endpoint_id not in registered_ids:
-                del self._beliefs_by_id[endpoint_id]
+                del self._observations_by_id[endpoint_id]
--- a/cranberrywick/routing/fleet_limits.py
+++ b/cranberrywick/routing/fleet_limits.py
@@ -108,16 +108,16 @@
 
     def observe(self, endpoint_id: str, rate: float, now: float) -> LimitChange | None:
         """Take what an answer to this daemon says; return what it changes."""
-        return self._note(self._limits.observe(endpoint_id, rate, now))
+        return self._record(self._limits.observe(endpoint_id, rate, now))
 
-    def hear(self, report: LimitReport) -> LimitChange | None:
+    def receive(self, report: LimitReport) -> LimitChange | None:
         """Take what a peer tells; return what it changes."""
-        change = self._note(self._limits.hear(report))
+        change = self._record(self._limits.receive(report))
         if report.free_at is not None and isfinite(self.rate(report.endpoint_id)):
             self._free_at_by_id[report.endpoint_id] = report.free_at
         return change
 
-    def _note(self, change: LimitChange | None) -> LimitChange | None:
+    def _record(self, change: LimitChange | None) -> LimitChange | None:
         if change is not None:
             # What stewards said of the earlier rate holds no longer.
             self._free_at_by_id.pop(change.endpoint_id, None)
@@ -212,15 +212,15 @@
         bucket = self._bucket(endpoint_id, rate * share, now)
         wait = bucket.take(now)
         if wait > terms.longest_wait:
-            bucket.give_back()
+            bucket.refund()
             return Permit(False, 0.0, wait)
         return Permit(True, wait, bucket.wait_seconds(now))
 
-    def note_permit(self, endpoint_id: str, permit: Permit, now: float) -> None:
+    def record_permit(self, endpoint_id: str, permit: Permit, now: float) -> None:
         """Take a steward's answer."""
         self._free_at_by_id[endpoint_id] = now + permit.free_seconds
 
-    def note_unanswered(self, endpoint_id: str, now: float) -> None:
+    def record_unanswered(self, endpoint_id: str, now: float) -> None:
         """Leave an endpoint alone whose steward gave no answer."""
         self._free_at_by_id[endpoint_id] = now + UNANSWERED_PAUSE_SECONDS
 
--- a/cranberrywick/routing/load.py
+++ b/cranberrywick/routing/load.py
@@ -79,7 +79,7 @@
         """This daemon's jobs, to be told to the others."""
         return [job for jobs in self._own_by_request.values() for job in jobs]
 
-    def hear(self, daemon_id: str, jobs: Iterable[Job], now: float) -> None:
+    def receive(self, daemon_id: str, jobs: Iterable[Job], now: float) -> None:
         """Replace what a peer has at endpoints."""
         _, before = self._peers.get(daemon_id, (now, ()))
         after = tuple(jobs)
@@ -87,7 +87,7 @@
         if before or after:
             self._jobs_by_endpoint = None
 
-    def forget_silent(self, now: float) -> None:
+    def evict_silent(self, now: float) -> None:
         """Drop the jobs of peers that have not been heard for long."""
         for daemon_id, (heard_at, _) in list(self._peers.items()):
             if now - heard_at > OWNER_SILENCE_SECONDS:
--- a/cranberrywick/routing/members.py
+++ b/cranberrywick/routing/members.py
@@ -92,7 +92,7 @@
         self._looked_at = float("-inf")
         self.was_paused = False
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> bool:
+    def receive(self, heartbeat: Heartbeat, now: float) -> bool:
         """Take a heartbeat; False for one that is older than what is known."""
         if heartbeat.daemon_id == self._daemon_id:
             return False
@@ -112,7 +112,7 @@
         is_silent = now - known.heard_at > self.silence_seconds
         return heartbeat.incarnation < old.incarnation and not is_silent
 
-    def look(self, now: float) -> list[str]:
+    def detect_silent(self, now: float) -> list[str]:
         """Note that time has passed; return the members that fell silent by it.
 
         ``was_paused`` says afterwards whether this daemon itself stood still.
@@ -121,7 +121,7 @@
         known = self._looked_at > float("-inf")
         self.was_paused = known and paused > OWN_PAUSE_SECONDS
         if self.was_paused:
-            self._excuse(paused)
+            self._discount_pause(paused)
         before, self._looked_at = self._looked_at, now
         silence = self.silence_seconds
         silent = []
@@ -133,7 +133,7 @@
                 silent.append(daemon_id)
         return silent
 
-    def _excuse(self, seconds: float) -> None:
+    def _discount_pause(self, seconds: float) -> None:
         for daemon_id, member in self.members_by_id.items():
             heard_at = member.heard_at + seconds
             self.members_by_id[daemon_id] = member._replace(heard_at=heard_at)
--- a/cranberrywick/routing/pace.py
+++ b/cranberrywick/routing/pace.py
@@ -38,7 +38,7 @@
     """The last pauses of one stream; ``pass_seconds`` is the least that is declared.
 
     >>> pauses = StreamPauses(0.05)
-    >>> [pauses.note(0.25) for _ in range(3)]
+    >>> [pauses.record(0.25) for _ in range(3)]
     [None, None, 5.0]
     """
 
@@ -46,7 +46,7 @@
         self._pass_seconds = pass_seconds
         self._pauses: deque[float] = deque(maxlen=PAUSES)
 
-    def note(self, seconds: float) -> float | None:
+    def record(self, seconds: float) -> float | None:
         """Note a pause; return the pace by now, None while too few are known."""
         self._pauses.append(seconds)
         if len(self._pauses) < PAUSES or self._pass_seconds <= 0:
@@ -85,7 +85,7 @@
             self._own[endpoint_id] = _Observation(pace if is_slow else 1.0, now)
         return is_slow != was_slow
 
-    def hear(self, paces: Iterable[EnginePace], seen_at: float) -> None:
+    def receive(self, paces: Iterable[EnginePace], seen_at: float) -> None:
         """Take what a peer has seen."""
         for endpoint_id, pace in paces:
             known = self._heard.get(endpoint_id)
--- a/cranberrywick/routing/part_choice.py
+++ b/cranberrywick/routing/part_choice.py
@@ -20,8 +20,8 @@
     "Engine",
     "Split",
     "Work",
-    "weighted_random",
     "choose",
+    "weighted_random",
 ]
 
 # Expected within this share of its target, a first event is on time whatever comes
--- a/cranberrywick/routing/relays.py
+++ b/cranberrywick/routing/relays.py
@@ -75,7 +75,7 @@
         self._trials_by_domain: dict[str, _Trial] = {}
         self._silent_ids: set[str] = set()
 
-    def heard(self, daemon_id: str, domain: str, now: float) -> None:
+    def receive(self, daemon_id: str, domain: str, now: float) -> None:
         """Note that a relay has passed something on to this daemon."""
         self._silent_ids.discard(daemon_id)
         trial = self._trials_by_domain.get(domain)
@@ -100,7 +100,7 @@
         self._trials_by_domain.pop(domain, None)
         return min(member_ids, default=None)
 
-    def excuse(self, now: float) -> None:
+    def discount_pause(self, now: float) -> None:
         """Wait for every relay anew, after a pause in this daemon's own run."""
         self._silent_ids.clear()
         for domain, trial in self._trials_by_domain.items():
--- a/cranberrywick/routing/retry_budget.py
+++ b/cranberrywick/routing/retry_budget.py
@@ -27,7 +27,7 @@
         self._requests: dict[str, deque[float]] = defaultdict(deque)
         self._tries: dict[str, deque[float]] = defaultdict(deque)
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request of a caller."""
         self._requests[service].append(now)
 
--- a/cranberrywick/routing/usable.py
+++ b/cranberrywick/routing/usable.py
@@ -19,7 +19,7 @@
     EndpointPool,
 )
 
-__all__ = ["Restrictions", "is_usable", "last_moment", "last_resort"]
+__all__ = ["Restrictions", "is_usable", "last_resort", "usable_until"]
 
 # Kept back from a bound for the way of a request to the endpoint, and for that of the
 # peer's message which said how old its reading is.
@@ -50,7 +50,7 @@
     return not record.draining and record.failure_domain not in domains_out
 
 
-def last_moment(belief: EndpointBelief, restrictions: Restrictions) -> float:
+def usable_until(belief: EndpointBelief, restrictions: Restrictions) -> float:
     """Return until when an endpoint may be sent to; infinity if it is usable."""
     record = belief.record
     until = float("inf")
@@ -68,5 +68,5 @@
     """Return the endpoints that a service may use while it has no other."""
     others = index.others(service, restrictions.out_since_by_domain.keys())
     return EndpointPool.of(
-        [belief for belief in others if now < last_moment(belief, restrictions)]
+        [belief for belief in others if now < usable_until(belief, restrictions)]
     )
--- a/cranberrywick/standin/engine.py
+++ b/cranberrywick/standin/engine.py
@@ -229,7 +229,7 @@
             added = held.add(
                 fields["owner"], fields["tokens"], fields["ttl_seconds"], source
             )
-            self.core.note_load()
+            self.core.record_load()
             return json_answer(200, {"id": added.reservation_id})
 
     def _orders(self, request: Request) -> Answer:
@@ -256,7 +256,7 @@
             core.version_by_model = {order["model"]: order.get("version", "")}
             core.adapters = []
             core.turn_cold()
-        core.note_load()
+        core.record_load()
 
     def _state(self, request: Request) -> Answer:
         core = self.core
--- a/cranberrywick/standin/engine_core.py
+++ b/cranberrywick/standin/engine_core.py
@@ -111,7 +111,7 @@
         self._down_until = 0.0
         self._reports: deque[tuple[float, dict]] = deque(maxlen=4096)
         self._closed = False
-        self.note_load()
+        self.record_load()
 
     @property
     def memory_used(self) -> int:
@@ -138,7 +138,7 @@
             self._queue.append(generation)
             self._queue.sort(key=lambda queued: queued.prompt.priority)
             self.settle()
-            self.note_load()
+            self.record_load()
             return generation
 
     def wait_for_token(self, generation: Generation, number: int) -> bool:
@@ -191,13 +191,13 @@
         with self.changed:
             self.phase = EndpointPhase.COLD
             self._completed_since_cold = 0
-            self.note_load()
+            self.record_load()
 
     def turn(self, phase: EndpointPhase) -> None:
         """Change the phase."""
         with self.changed:
             self.phase = phase
-            self.note_load()
+            self.record_load()
 
     def set_slow_factor(self, factor: float) -> None:
         """Make prefill and decoding ``factor`` times slower, silently."""
@@ -227,14 +227,14 @@
         """Return the load as it was ``load_lag_seconds`` ago."""
         with self.changed:
             self.settle()
-            self.note_load()
+            self.record_load()
             now = time.monotonic()
             oldest = now - self.settings.load_lag_seconds
             seen = [report for at, report in self._reports if at <= oldest]
             report = seen[-1] if seen else self._reports[0][1]
             return {**report, "age_seconds": self.settings.load_lag_seconds}
 
-    def note_load(self) -> None:
+    def record_load(self) -> None:
         """Remember the load of this moment for later reports."""
         waiting = self._queue
         report = {
@@ -315,7 +315,7 @@
         if self._completed_since_cold >= self.settings.cold_completions:
             if self.phase == EndpointPhase.COLD:
                 self.phase = EndpointPhase.WARM
-        self.note_load()
+        self.record_load()
 
     def _drop(self, generation: Generation) -> None:
         generation.broken = True
@@ -324,5 +324,5 @@
             self._queue.remove(generation)
         if self._prefilling is generation:
             self._prefilling = None
-        self.note_load()
+        self.record_load()
         self.changed.notify_all()
--- a/cranberrywick/standin/kv.py
+++ b/cranberrywick/standin/kv.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 from urllib.parse import unquote
 
-from cranberrywick.external.exchange import RateLimited, Reply, no_answer
+from cranberrywick.external.exchange import RateLimited, Reply, no_answer_error
 from cranberrywick.external.key_value import HttpKeyValueStore
 from cranberrywick.standin.server import (
     Answer,
@@ -273,7 +273,7 @@
         request = Request(method, unquote(path), query or {}, {}, body, lambda: False)
         answer = self._standin.answer(request)
         if answer.status >= 500 or not isinstance(answer.body, bytes):
-            raise no_answer(method, f"status {answer.status}")
+            raise no_answer_error(method, f"status {answer.status}")
         if answer.status == 429:
             raise RateLimited("rate limit")
         return Reply(answer.status, json.loads(answer.body))
--- a/cranberrywick/token_bucket.py
+++ b/cranberrywick/token_bucket.py
@@ -44,7 +44,7 @@
         """Undo the calls that still have to wait."""
         self._tokens = max(0.0, self._tokens)
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Undo a `take` whose call is not made after all."""
         self._tokens += 1.0
 
--- a/tests/claim_fakes.py
+++ b/tests/claim_fakes.py
@@ -2,7 +2,7 @@
 
 from cranberrywick.claims.slices import RetentionSlices
 from cranberrywick.claims.store import ClaimStore
-from cranberrywick.external.exchange import no_answer
+from cranberrywick.external.exchange import no_answer_error
 from cranberrywick.standin.kv import InProcessKeyValueStore
 
 
@@ -41,7 +41,7 @@
             reply = super()._call(method, path, query, fields, extra)
             if fate == "done":
                 return reply
-        raise no_answer(method, fate)
+        raise no_answer_error(method, fate)
 
     def deliver(self):
         """Let the delayed writes arrive now."""
--- a/tests/test_decisions_modules.py
+++ b/tests/test_decisions_modules.py
@@ -221,7 +221,7 @@
     fleet.set_shares({"e0": Share("e0", 3, expires_at=10.0)})
     assert state.slots_free(0.0, fleet.shared) == 3
     assert state.slots_free(20.0, fleet.shared) == 3
-    state.note_cold(1.0)
+    state.mark_cold(1.0)
     assert state.slots_free(1.0, fleet.shared) == 2
     assert state.slots_free(20.0, fleet.shared) == 0
     fleet.set_shares({})
@@ -235,7 +235,7 @@
 def test_leaving_holds_until_a_new_incarnation():
     state = EndpointState(make_endpoint())
     state.report(make_load(at=0.0))
-    state.note_leaving()
+    state.mark_leaving()
     state.report(make_load(at=5.0))
     assert state.slots_free(5.0, shared=False) == 0
     assert state.report(make_load(at=6.0, incarnation=2))
--- a/tests/test_endpoint_controller.py
+++ b/tests/test_endpoint_controller.py
@@ -55,7 +55,7 @@
     """
     fixture = Fixture()
     fixture.refresh(0.0)
-    fixture.controller.hear_load(EndpointLoad("e0", 7, EndpointPhase.WARM, 0.0))
+    fixture.controller.record_load(EndpointLoad("e0", 7, EndpointPhase.WARM, 0.0))
     fixture.states["e0"] = VmState.LEAVING
     fixture.revision = 2
 
--- a/tests/test_endpoint_index.py
+++ b/tests/test_endpoint_index.py
@@ -139,7 +139,7 @@
     load = FleetLoad()
     for number in range(0, 3000, 2):
         job = Job(f"i-{number:04}", 5_000, 0.03, 0.5, 0.6, writing=True)
-        load.hear(f"of-{number}", [job] * 8, 1.0)
+        load.receive(f"of-{number}", [job] * 8, 1.0)
     assert place(load, demand()) is not None
 
 
--- a/tests/test_endpoint_phases.py
+++ b/tests/test_endpoint_phases.py
@@ -16,20 +16,20 @@
     says warm. Taking the last word would send new work to it again.
     """
     phases = EndpointPhases()
-    phases.hear_load(load(3, 10.0))
-    assert phases.hear_leaving("e1", 3)
+    phases.record_load(load(3, 10.0))
+    assert phases.mark_leaving("e1", 3)
 
-    late = phases.hear_load(load(3, 11.0))
+    late = phases.record_load(load(3, 11.0))
 
     assert late.phase is EndpointPhase.LEAVING
-    assert not phases.hear_leaving("e1", 3)
+    assert not phases.mark_leaving("e1", 3)
 
 
 def test_a_new_incarnation_opens_the_endpoint_again():
     phases = EndpointPhases()
-    phases.hear_load(load(3, 10.0, EndpointPhase.LEAVING))
+    phases.record_load(load(3, 10.0, EndpointPhase.LEAVING))
 
-    assert phases.hear_load(load(4, 20.0, EndpointPhase.COLD)).phase is (
+    assert phases.record_load(load(4, 20.0, EndpointPhase.COLD)).phase is (
         EndpointPhase.COLD
     )
     assert not phases.is_leaving("e1")
@@ -37,16 +37,16 @@
 
 def test_reports_of_an_older_incarnation_are_ignored():
     phases = EndpointPhases()
-    phases.hear_load(load(4, 20.0))
+    phases.record_load(load(4, 20.0))
 
-    assert phases.hear_load(load(3, 30.0)) is None
-    assert phases.hear_load(load(4, 19.0)) is None
+    assert phases.record_load(load(3, 30.0)) is None
+    assert phases.record_load(load(4, 19.0)) is None
     assert phases.current("e1").reported_at == 20.0
 
 
 def test_the_vm_list_closes_an_endpoint_for_as_long_as_it_says_so():
     phases = EndpointPhases()
-    phases.hear_load(load(1, 1.0))
+    phases.record_load(load(1, 1.0))
 
     phases.set_listed(["e1"], leaving=["e1"])
     assert phases.current("e1").phase is EndpointPhase.LEAVING
@@ -57,7 +57,7 @@
 
 def test_an_endpoint_off_the_list_is_forgotten():
     phases = EndpointPhases()
-    phases.hear_load(load(1, 1.0))
+    phases.record_load(load(1, 1.0))
 
     phases.set_listed([], leaving=[])
 
@@ -72,6 +72,6 @@
     """
     phases = EndpointPhases()
 
-    assert phases.hear_leaving("e1", 2)
+    assert phases.mark_leaving("e1", 2)
 
     assert phases.current("e1").phase is EndpointPhase.LEAVING
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -47,14 +47,14 @@
         self.own.pop(request, None)
 
     @rule(peer=st.sampled_from("abc"), jobs=jobs_lists)
-    def hear(self, peer, jobs):
-        self.load.hear(peer, jobs, self.now)
+    def receive(self, peer, jobs):
+        self.load.receive(peer, jobs, self.now)
         self.peers[peer] = (self.now, jobs)
 
     @rule(seconds=st.floats(0.1, 4.0))
     def wait(self, seconds):
         self.now += seconds
-        self.load.forget_silent(self.now)
+        self.load.evict_silent(self.now)
         self.peers = {
             peer: (heard_at, jobs)
             for peer, (heard_at, jobs) in self.peers.items()
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -235,9 +235,9 @@
         members = ["d1", "d2", "d5"]
         assert relays.choose("a", members, 0.0) == "d1"
         assert relays.choose("a", members, 1.1) == "d2"
-        relays.heard("d2", "a", 1.5)
+        relays.receive("d2", "a", 1.5)
         assert relays.choose("a", members, 2.4) == "d2"
-        relays.heard("d1", "a", 2.4)
+        relays.receive("d1", "a", 2.4)
         assert relays.choose("a", members, 2.5) == "d1"
 
     def test_a_daemon_that_hears_no_relay_becomes_one(self):
@@ -253,7 +253,7 @@
     def test_a_pause_of_its_own_is_held_against_no_relay(self):
         relays = Relays("d5", "a")
         relays.choose("a", ["d1", "d5"], 0.0)
-        relays.excuse(5.0)
+        relays.discount_pause(5.0)
         assert relays.choose("a", ["d1", "d5"], 5.5) == "d1"
 
     def test_small_fleets_have_none(self):
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -99,7 +99,7 @@
     def cold_ledger(self, running=0):
         """Return the ledger of a steward that holds the platform's lease."""
         ledger = Ledger(ENDPOINT, 0.0)
-        ledger.note_authority(LATER + 15, LATER - 1)
+        ledger.record_authority(LATER + 15, LATER - 1)
         ledger.report(load(LATER, EndpointPhase.COLD, running=running), LATER)
         return ledger
 
@@ -217,14 +217,14 @@
         self.ask(1, now=0.0)
         self.leases.take("r1", "e2", 1, 4, 9.0)
         self.ask(2, now=1.0)
-        self.leases.note_trouble("r1", Trouble.COLD, now=1.1)
+        self.leases.record_trouble("r1", Trouble.COLD, now=1.1)
         assert self.leases.leased("r1", 1.1) == 0
         self.leases.take("r1", "e2", 2, 4, 9.0)
         assert self.leases.leased("r1", 1.2) == 0
         assert self.ask(3, now=1.3).trouble is Trouble.COLD
 
     def test_without_a_steward_the_daemons_part_of_a_warm_endpoint(self):
-        self.leases.note_load(load(0.0))
+        self.leases.record_load(load(0.0))
         self.ask(1, now=0.0)
         assert self.leases.share("r1", ["e1", "e2"], 0.1) is None
         assert self.leases.share("r1", ["e1", "e2"], 0.6).slots == 4
@@ -232,7 +232,7 @@
     def test_without_a_steward_nothing_of_a_cold_or_unknown_endpoint(self):
         self.ask(1, now=0.0)
         assert self.leases.share("r1", ["e1"], 5.0) is None
-        self.leases.note_load(load(0.0, EndpointPhase.COLD))
+        self.leases.record_load(load(0.0, EndpointPhase.COLD))
         assert self.leases.share("r1", ["e1"], 5.0) is None
 
     def test_overload_does_not_multiply_the_demands(self):
--- a/tests/test_grants_exchange.py
+++ b/tests/test_grants_exchange.py
@@ -136,5 +136,5 @@
     endpoints = Endpoints(fleet, holders)
     wait_for(lambda: all(holder.slots for holder in holders))
     endpoints.phase = EndpointPhase.COLD
-    holders[0].node.note_trouble("r1", Trouble.COLD)
+    holders[0].node.record_trouble("r1", Trouble.COLD)
     wait_for(lambda: not any(holder.slots for holder in holders))
--- a/tests/test_grants_machine.py
+++ b/tests/test_grants_machine.py
@@ -145,7 +145,7 @@
         daemon = self.daemons[number]
         if holder == daemon.holder:
             daemon.leases.take("r1", steward, round, granted.slots, granted.lifetime)
-            daemon.leases.note_load(load)
+            daemon.leases.record_load(load)
             daemon.has_heard = True
 
     @rule(number=daemon_numbers)
@@ -261,7 +261,7 @@
     def everyone_heard_it_is_cold(self):
         load = EndpointLoad("r1", 1, EndpointPhase.COLD, self.now)
         for daemon in self.daemons:
-            daemon.leases.note_load(load)
+            daemon.leases.record_load(load)
             daemon.has_heard = True
         self.make_steward(0)
         self.a_whole_turn_of_the_steward(0)
@@ -295,7 +295,7 @@
         self.owner = daemon.holder
         self.owned_until = self.now + AUTHORITY_SECONDS
         daemon.authority_until = self.owned_until
-        daemon.ledger.note_authority(self.owned_until, self.now)
+        daemon.ledger.record_authority(self.owned_until, self.now)
 
     @rule(number=daemon_numbers)
     def endpoint_turns_warm(self, number):
--- a/tests/test_last_resort.py
+++ b/tests/test_last_resort.py
@@ -21,7 +21,7 @@
 from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.registry import EndpointRegistry
-from cranberrywick.routing.usable import Restrictions, last_moment, last_resort
+from cranberrywick.routing.usable import Restrictions, last_resort, usable_until
 
 DRAIN_SECONDS = 3.0
 EVACUATE_SECONDS = 5.0
@@ -125,15 +125,15 @@
 
 def test_one_that_was_never_seen_ready_is_no_last_resort():
     """Guards against sends to an endpoint whose leaving has an unknown age."""
-    assert last_moment(leaving(float("-inf")), restrictions()) == float("-inf")
+    assert usable_until(leaving(float("-inf")), restrictions()) == float("-inf")
 
 
 def test_the_earlier_of_two_bounds_counts():
     """Guards against a domain's longer bound that hides an endpoint's own leaving."""
     belief = leaving(10.0)
     domain = {"fd-a": 4.0}
-    alone = last_moment(belief, restrictions())
-    assert last_moment(belief, restrictions(**domain)) < alone < 13.0
+    alone = usable_until(belief, restrictions())
+    assert usable_until(belief, restrictions(**domain)) < alone < 13.0
 
 
 def notice():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
 
 def membership(*others, now=0.0):
     membership = Membership(member("me"), random.Random(1), now)
-    membership.take_list([member(other) for other in others], now)
+    membership.merge_members([member(other) for other in others], now)
     return membership
 
 
@@ -170,7 +170,7 @@
         other = memberships[probe.daemon_id]
         for sender, receiver in ((membership, other), (other, membership)):
             receiver.heard(sender.myself.daemon_id)
-            for news in sender.news_for(receiver.myself.daemon_id, limit=8):
+            for news in sender.updates_for(receiver.myself.daemon_id, limit=8):
                 receiver.take_news(news, now)
         membership.answered(probe.round, probe.daemon_id)
 
@@ -181,7 +181,7 @@
     memberships = {}
     for id in ids:
         memberships[id] = Membership(member(id), random.Random(id), 0.0)
-        memberships[id].take_list(everyone, 0.0)
+        memberships[id].merge_members(everyone, 0.0)
     memberships["e0"].leave()
     rng = random.Random(3)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
     HeldByOther,
     InForce,
     NotGiven,
-    OrderGiver,
+    OrderSender,
     Unconfirmed,
 )
 from cranberrywick.external.weights import WeightStore
@@ -61,9 +61,9 @@
             checks_fencing=checks_fencing,
         )
 
-    def giver(self, name, before_send=lambda: None):
+    def order_sender(self, name, before_send=lambda: None):
         store = InProcessKeyValueStore(self.key_value)
-        return OrderGiver(store, self.weights, name, self.clock, before_send)
+        return OrderSender(store, self.weights, name, self.clock, before_send)
 
 
 @pytest.fixture
@@ -80,9 +80,9 @@
 
 def test_an_order_is_given_once_and_then_found_in_force(fleet):
     server, endpoint = fleet.start_engine()
-    assert fleet.giver("a").give(endpoint, load("2"), 1) == InForce(1, True)
+    assert fleet.order_sender("a").give(endpoint, load("2"), 1) == InForce(1, True)
     fleet.clock.advance(LEASE_SECONDS)
-    assert fleet.giver("b").give(endpoint, load("2"), 1) == InForce(1, False)
+    assert fleet.order_sender("b").give(endpoint, load("2"), 1) == InForce(1, False)
     assert orders_taken(server) == ["2"]
 
 
@@ -91,7 +91,7 @@
 
     def pause():
         fleet.clock.advance(LEASE_SECONDS + 1)
-        assert fleet.giver("b").give(endpoint, load("3"), 1) == InForce(1, True)
+        assert fleet.order_sender("b").give(endpoint, load("3"), 1) == InForce(1, True)
         server.drop_connections()
 
     return pause
@@ -106,7 +106,9 @@
     server, endpoint = fleet.start_engine()
     server.drop_connections = lambda: None
     pause = pause_past_the_lease(fleet, endpoint, server)
-    assert isinstance(fleet.giver("a", pause).give(endpoint, load("2"), 1), FencedOff)
+    assert isinstance(
+        fleet.order_sender("a", pause).give(endpoint, load("2"), 1), FencedOff
+    )
     assert orders_taken(server) == ["3"]
 
 
@@ -118,7 +120,7 @@
     """
     server, endpoint = fleet.start_engine(checks_fencing=False)
     pause = pause_past_the_lease(fleet, endpoint, server)
-    outcome = fleet.giver("a", pause).give(endpoint, load("2"), 1)
+    outcome = fleet.order_sender("a", pause).give(endpoint, load("2"), 1)
     assert isinstance(outcome, Unconfirmed)
     assert orders_taken(server) == ["3"]
 
@@ -156,7 +158,7 @@
         threading.Thread(target=server.serve_forever, daemon=True).start()
         _, endpoint = fleet.start_engine(checks_fencing)
         endpoint = endpoint._replace(address=f"127.0.0.1:{server.server_port}")
-        outcome = fleet.giver("a").give(endpoint, load("2"), 1)
+        outcome = fleet.order_sender("a").give(endpoint, load("2"), 1)
         server.shutdown()
     if checks_fencing:
         assert outcome == InForce(1, True)
@@ -175,7 +177,7 @@
         return answer()
 
     server.standin.core.load = slow_load
-    outcome = fleet.giver("a").give(endpoint, load("2"), 1)
+    outcome = fleet.order_sender("a").give(endpoint, load("2"), 1)
     assert outcome == NotGiven("lease_too_old", 0.0)
     assert orders_taken(server) == []
 
@@ -184,30 +186,30 @@
     """The engine takes the order and the answer is lost; it may be under way yet."""
     server, endpoint = fleet.start_engine(checks_fencing=False)
     server.standin.faults.set("drop_next_answer", count=1)
-    outcome = fleet.giver("a").give(endpoint, load("2"), 1)
+    outcome = fleet.order_sender("a").give(endpoint, load("2"), 1)
     assert isinstance(outcome, Unconfirmed)
-    assert fleet.giver("b").give(endpoint, load("3"), 1) == HeldByOther()
+    assert fleet.order_sender("b").give(endpoint, load("3"), 1) == HeldByOther()
     fleet.clock.advance(LEASE_SECONDS)
-    assert fleet.giver("b").give(endpoint, load("3"), 1) == InForce(1, True)
+    assert fleet.order_sender("b").give(endpoint, load("3"), 1) == InForce(1, True)
 
 
 def test_the_fleet_gives_few_orders_at_once_and_one_a_failure_domain(fleet):
     _, first = fleet.start_engine()
     _, neighbour = fleet.start_engine(endpoint_id="engine-2", domain="a")
     _, other = fleet.start_engine(endpoint_id="engine-3", domain="b")
-    assert fleet.giver("a").give(first, load("2"), 2) == InForce(1, True)
-    assert fleet.giver("b").give(neighbour, load("2"), 2) == HeldByOther()
-    assert fleet.giver("b").give(other, load("2"), 1) == HeldByOther()
-    assert fleet.giver("b").give(other, load("2"), 2) == InForce(1, True)
+    assert fleet.order_sender("a").give(first, load("2"), 2) == InForce(1, True)
+    assert fleet.order_sender("b").give(neighbour, load("2"), 2) == HeldByOther()
+    assert fleet.order_sender("b").give(other, load("2"), 1) == HeldByOther()
+    assert fleet.order_sender("b").give(other, load("2"), 2) == InForce(1, True)
 
 
 def test_without_the_platform_no_order_is_given(fleet):
     server, endpoint = fleet.start_engine(checks_fencing=False)
     fleet.key_value.faults.set("outage")
-    assert isinstance(fleet.giver("a").give(endpoint, load("2"), 1), NotGiven)
+    assert isinstance(fleet.order_sender("a").give(endpoint, load("2"), 1), NotGiven)
     fleet.key_value.faults.clear()
     fleet.weight_store._tokens = 0.0
-    outcome = fleet.giver("a").give(endpoint, load("2"), 1)
+    outcome = fleet.order_sender("a").give(endpoint, load("2"), 1)
     assert outcome == NotGiven("platform_rate_limited", 1.0)
     assert orders_taken(server) == []
 
@@ -228,7 +230,7 @@
     models["drafter"] = models["drafter"]._replace(adapters=())
     controller = ControllerHandle(
         OrderController,
-        fleet.giver("a"),
+        fleet.order_sender("a"),
         lambda: configuration,
         lambda: endpoints_by_id,
         lambda: {
--- a/tests/test_orders_decisions.py
+++ b/tests/test_orders_decisions.py
@@ -9,7 +9,7 @@
     GAP_SECONDS,
     STAY_SECONDS,
     EngineView,
-    ModelWanted,
+    ModelDemand,
     Order,
     OrderKind,
     OrderPlanner,
@@ -34,7 +34,7 @@
 
 
 def wanted(name="drafter", version="1", adapters=(), utilisation=0.7):
-    return ModelWanted(name, version, adapters, utilisation)
+    return ModelDemand(name, version, adapters, utilisation)
 
 
 def test_a_new_version_is_rolled_out_without_chilling_the_fleet():
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -18,13 +18,13 @@
 def test_one_long_pause_is_no_slow_engine():
     """A prompt was read between two events; the engine is as fast as ever."""
     pauses = StreamPauses(0.05)
-    paces = [pauses.note(seconds) for seconds in (0.05, 0.06, 0.6, 0.6, 0.05)]
+    paces = [pauses.record(seconds) for seconds in (0.05, 0.06, 0.6, 0.6, 0.05)]
     assert max(pace for pace in paces if pace) < 2.0
 
 
 def test_pauses_that_are_all_long_show_the_pace():
     pauses = StreamPauses(0.05)
-    assert [pauses.note(0.25) for _ in range(4)] == [None, None, 5.0, 5.0]
+    assert [pauses.record(0.25) for _ in range(4)] == [None, None, 5.0, 5.0]
 
 
 def test_a_slow_engine_is_told_and_tried_again():
@@ -32,7 +32,7 @@
     paces, peers = EnginePaces(), EnginePaces()
     assert paces.observe("e1", 5.0, 0.0)
     assert not paces.observe("e1", 5.0, 0.5)
-    peers.hear(paces.own(0.5), 0.6)
+    peers.receive(paces.own(0.5), 0.6)
     assert peers.pace("e1", 2.5, is_long=False) == 5.0
     assert peers.pace("e1", 2.7, is_long=False) == 1.0
     assert peers.pace("e1", 10.0, is_long=True) == 5.0
@@ -44,9 +44,9 @@
     """Long prompts go there at once, and do not wait for the news to get old."""
     paces, peers = EnginePaces(), EnginePaces()
     paces.observe("e1", 5.0, 0.0)
-    peers.hear(paces.own(0.0), 0.0)
+    peers.receive(paces.own(0.0), 0.0)
     assert paces.observe("e1", 1.1, 0.5)
-    peers.hear(paces.own(0.5), 0.5)
+    peers.receive(paces.own(0.5), 0.5)
     assert peers.pace("e1", 0.6, is_long=True) == 1.0
 
 
@@ -58,8 +58,8 @@
 
 def test_old_news_of_a_pace_does_not_replace_newer():
     paces = EnginePaces()
-    paces.hear([EnginePace("e1", 5.0)], 2.0)
-    paces.hear([EnginePace("e1", 2.5)], 1.0)
+    paces.receive([EnginePace("e1", 5.0)], 2.0)
+    paces.receive([EnginePace("e1", 2.5)], 1.0)
     assert paces.pace("e1", 2.5, is_long=False) == 5.0
 
 
@@ -81,7 +81,7 @@
         for n in range(4)
     ]
     load, paces = FleetLoad(), EnginePaces()
-    paces.hear([EnginePace("e0", 5.0)], 0.0)
+    paces.receive([EnginePace("e0", 5.0)], 0.0)
     placer = Placer(load, EndpointHealth(), paces, random.Random(1), lambda: 0.0)
     for number in range(12):
         demand = Demand(
@@ -106,7 +106,7 @@
     take four times its target.
     """
     paces = EnginePaces()
-    paces.hear([EnginePace("slow", call_pace(1.2, 0.3))], 0.0)
+    paces.receive([EnginePace("slow", call_pace(1.2, 0.3))], 0.0)
     load = FleetLoad()
     placer = Placer(load, EndpointHealth(), paces, random.Random(1), lambda: 0.0)
     pool = EndpointPool.of(
--- a/tests/test_peer_fetches.py
+++ b/tests/test_peer_fetches.py
@@ -115,7 +115,7 @@
         loop = asyncio.get_running_loop()
         started = loop.time()
 
-        def hear(name, fetches):
+        def receive(name, fetches):
             """Ask whenever heartbeats tell of a change, as they do each 50 ms."""
             if name in informed:
                 return
@@ -124,10 +124,10 @@
                 lambda: list(informed),
                 lambda *answer: informed.setdefault(name, loop.time() - started),
             )
-            loop.call_later(0.05, hear, name, fetches)
+            loop.call_later(0.05, receive, name, fetches)
 
         for name in daemons[1:]:
-            hear(name, PeerFetches(SharedLink, EventLog()))
+            receive(name, PeerFetches(SharedLink, EventLog()))
         await asyncio.sleep(3.0)
         assert len(informed) == len(daemons)
         assert max(informed.values()) < 1.0
--- a/tests/test_peers_failures.py
+++ b/tests/test_peers_failures.py
@@ -129,7 +129,7 @@
         lambda: nodes[0].transport.counts.datagrams_received - received > len(recorded)
     )
     # What comes after in the receiver's order shows that it has seen all of them.
-    nodes[1].endpoint_left("runner-1", 1)
+    nodes[1].announce_leaving("runner-1", 1)
     wait_for(lambda: leaving)
     assert leaving == [LeavingEndpoint("runner-1", 1)]
     after = nodes[0].snapshot.members_by_id
--- a/tests/test_peers_node.py
+++ b/tests/test_peers_node.py
@@ -47,10 +47,10 @@
     heard = {node.myself.daemon_id: [] for node in nodes}
     for node in nodes:
         node.on_leaving(heard[node.myself.daemon_id].append)
-    nodes[0].endpoint_left("runner-1", 5)
+    nodes[0].announce_leaving("runner-1", 5)
     wait_for(lambda: all(heard.values()))
-    nodes[1].endpoint_left("runner-1", 5)
-    nodes[1].endpoint_left("runner-1", 6)
+    nodes[1].announce_leaving("runner-1", 5)
+    nodes[1].announce_leaving("runner-1", 6)
     wait_for(lambda: all(len(leaving) == 2 for leaving in heard.values()))
     for leaving in heard.values():
         assert leaving == [("runner-1", 5), ("runner-1", 6)]
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -136,7 +136,7 @@
 class TestMembers:
     def test_a_silent_daemon_is_no_longer_named(self):
         members = Members("d1", 3.0)
-        members.hear(heartbeat(), 0.0)
+        members.receive(heartbeat(), 0.0)
         assert members.serving(2.0)
         assert not members.serving(2.1)
 
@@ -150,28 +150,28 @@
         assert 320 / heartbeat_seconds(320) < 300
         members = Members("d1", 3.0)
         for number in range(100):
-            members.hear(heartbeat(f"m{number}"), 0.0)
+            members.receive(heartbeat(f"m{number}"), 0.0)
         assert members.silence_seconds <= 5.0
         members = Members("d1", 3.0)
         for number in range(320):
-            members.hear(heartbeat(f"m{number}"), 0.0)
+            members.receive(heartbeat(f"m{number}"), 0.0)
         assert members.silence_seconds == 5.0
 
     def test_a_leaving_daemon_lives_but_serves_nobody_new(self):
         members = Members("d1", 3.0)
-        members.hear(heartbeat(leaving=True), 0.0)
+        members.receive(heartbeat(leaving=True), 0.0)
         assert members.alive(0.1) and not members.serving(0.1)
 
     def test_an_old_heartbeat_changes_nothing(self):
         members = Members("d1", 3.0)
-        members.hear(heartbeat(sequence=7, leaving=True), 0.0)
-        assert not members.hear(heartbeat(sequence=6), 0.1)
+        members.receive(heartbeat(sequence=7, leaving=True), 0.0)
+        assert not members.receive(heartbeat(sequence=6), 0.1)
         assert not members.serving(0.1)
 
     def test_a_restarted_daemon_counts_from_one(self):
         members = Members("d1", 3.0)
-        members.hear(heartbeat(sequence=700), 0.0)
-        assert members.hear(heartbeat(incarnation=2, sequence=1), 0.1)
+        members.receive(heartbeat(sequence=700), 0.0)
+        assert members.receive(heartbeat(incarnation=2, sequence=1), 0.1)
 
     def test_a_restart_with_the_clock_set_back_is_heard_once_the_old_one_is_silent(
         self,
@@ -182,10 +182,10 @@
         the one before looks the same, but comes while that is still heard.
         """
         members = Members("d1", 3.0)
-        members.hear(heartbeat(incarnation=9, sequence=700), 0.0)
-        assert not members.hear(heartbeat(incarnation=8, sequence=1), 0.5)
-        assert not members.hear(heartbeat(incarnation=9, sequence=3), 2.5)
-        assert members.hear(heartbeat(incarnation=8, sequence=2), 2.5)
+        members.receive(heartbeat(incarnation=9, sequence=700), 0.0)
+        assert not members.receive(heartbeat(incarnation=8, sequence=1), 0.5)
+        assert not members.receive(heartbeat(incarnation=9, sequence=3), 2.5)
+        assert members.receive(heartbeat(incarnation=8, sequence=2), 2.5)
         assert members.serving(2.6)
 
     def test_after_a_pause_of_its_own_a_daemon_blames_nobody(self):
@@ -195,15 +195,15 @@
         nothing of the others.
         """
         members = Members("d1", 3.0)
-        members.hear(heartbeat(), 0.0)
-        members.look(0.1)
-        assert members.look(5.1) == []
+        members.receive(heartbeat(), 0.0)
+        members.detect_silent(0.1)
+        assert members.detect_silent(5.1) == []
         assert members.serving(5.1)
 
     def test_the_rank_counts_only_those_that_serve(self):
         members = Members("d5", 3.0)
         for name in ("d1", "d2", "d9"):
-            members.hear(heartbeat(name, leaving=name == "d2"), 0.0)
+            members.receive(heartbeat(name, leaving=name == "d2"), 0.0)
         assert members.rank(0.1) == 1
 
 
@@ -262,7 +262,7 @@
             budget = RetryBudget(0.2, 10.0, 106.0)
             own = requests // members + (daemon < requests % members)
             for _ in range(own):
-                budget.note_request("pool", 1.0)
+                budget.record_request("pool", 1.0)
             while budget.take("pool", members, 2.0):
                 taken += 1
         assert taken <= 0.2 * requests + 106.0
@@ -330,17 +330,17 @@
     def test_jobs_of_all_daemons_are_seen_at_an_endpoint(self):
         load = FleetLoad()
         load.put("r1", [Job("e1", 10, 0.1, 0.0, 0.1)])
-        load.hear("d2", [Job("e1", 20, 0.1, 0.0, 0.1)], 0.0)
+        load.receive("d2", [Job("e1", 20, 0.1, 0.0, 0.1)], 0.0)
         assert sorted(job.held_tokens for job in load.at("e1")) == [10, 20]
         load.drop("r1")
-        load.forget_silent(10.0)
+        load.evict_silent(10.0)
         assert not load.at("e1")
 
     def test_what_the_fleet_places_in_a_second_is_counted(self):
         load = FleetLoad()
         load.put("r1", [Job("e1", 10, 0.1, 0.0, 0.1)])
         helper = Job("e2", 0, 0.1, 5.0, 5.1, helper=True)
-        load.hear("d2", [Job("e1", 20, 0.1, 5.0, 5.1), helper], 5.0)
+        load.receive("d2", [Job("e1", 20, 0.1, 5.0, 5.1), helper], 5.0)
         assert load.placed_each_second(5.5) == 1
 
 
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -112,7 +112,7 @@
     assert cancel_stream(source.address, "r1.1")
     assert memory_used(engines) == [100, 0]
     cleanups = Cleanups()
-    cleanups.note(source.address)
+    cleanups.record(source.address)
     clock = Clock()
 
     def state_of(owner):
@@ -130,9 +130,9 @@
 def test_engine_is_looked_at_for_a_while_after_a_cleanup():
     clock = Clock()
     cleanups = Cleanups(clock)
-    cleanups.note("e0:1")
+    cleanups.record("e0:1")
     clock.now += CLEANUP_SECONDS
-    cleanups.note("e1:1")
+    cleanups.record("e1:1")
     assert cleanups.recent() == {"e0:1", "e1:1"}
     clock.now += 1.0
     assert cleanups.recent() == {"e1:1"}
--- a/tests/test_unheard_requests.py
+++ b/tests/test_unheard_requests.py
@@ -47,7 +47,7 @@
     now = 100.0
     load = FleetLoad()
     for engine, taken in taken_by_engine.items():
-        load.hear(f"of-{engine}", answers(engine, taken, now), now)
+        load.receive(f"of-{engine}", answers(engine, taken, now), now)
     places = Counter()
     for number in range(daemons):
         rng = random.Random(1000 * seed + number)
