--- a/cranberrywick/bench/drawn_deployments.py
+++ b/cranberrywick/bench/drawn_deployments.py
@@ -13,7 +13,7 @@
 
 from cranberrywick.bench.prompt_engines import KINDS, PROFILE, Kind
 from cranberrywick.bench.prompts import Experiment, FleetShape, on_time_by_kind
-from cranberrywick.routing.engine_model import read_seconds
+from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.model import EngineProfile
 from cranberrywick.routing.relays import news_seconds
 
@@ -40,7 +40,7 @@
     daemons = round(3 * 25 ** rng.random())
     kinds = tuple(_draw_kind(rng, kind, profile) for kind in KINDS)
     work = sum(
-        k.per_second * read_seconds(profile, int(k.prompt_tokens)) for k in kinds
+        k.per_second * prefill_time(profile, int(k.prompt_tokens)) for k in kinds
     )
     arrivals = sum(kind.per_second for kind in kinds)
     tokens = sum(kind.per_second * kind.prompt_tokens for kind in kinds)
@@ -58,7 +58,7 @@
         memory_tokens=round(PROFILE.memory_tokens * rng.uniform(0.5, 2.0)),
         stride=rng.choice((10, 25, 50, 80)),
         step_seconds=PROFILE.step_seconds * rng.uniform(0.5, 2.0),
-        read_rate=PROFILE.read_rate * rng.uniform(0.5, 2.0),
+        prefill_rate=PROFILE.prefill_rate * rng.uniform(0.5, 2.0),
         pair_seconds=PROFILE.pair_seconds * rng.uniform(0.5, 2.0),
         chunk_tokens=rng.choice((512, 2048, 8192)),
     )
@@ -67,7 +67,7 @@
 def _draw_kind(rng: random.Random, kind: Kind, profile: EngineProfile) -> Kind:
     """Return a kind with other sizes and limits; none that its engine can't keep."""
     tokens = kind.prompt_tokens * rng.uniform(0.5, 2.0)
-    alone = read_seconds(profile, int(tokens))
+    alone = prefill_time(profile, int(tokens))
     least_gap = 3 * profile.stride * profile.step_seconds
     return kind._replace(
         per_second=kind.per_second * rng.uniform(0.3, 3.0),
--- a/cranberrywick/bench/fleet_news.py
+++ b/cranberrywick/bench/fleet_news.py
@@ -102,7 +102,7 @@
 
     def _write(self, daemon: NewsDaemon, request_id: str) -> None:
         jobs = daemon.news.load.jobs_of(request_id)
-        daemon.news.load.put(request_id, [job._replace(writing=True) for job in jobs])
+        daemon.news.load.put(request_id, [job._replace(decoding=True) for job in jobs])
         daemon.news.job_ended()
 
     def _cost(self, daemons: Sequence[NewsDaemon]) -> NewsCost:
--- a/cranberrywick/bench/prompts.py
+++ b/cranberrywick/bench/prompts.py
@@ -29,7 +29,7 @@
 )
 from cranberrywick.routing.demand import Demand
 from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
-from cranberrywick.routing.engine_model import read_seconds
+from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import (
@@ -38,8 +38,8 @@
     PromptSize,
     Service,
 )
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Part, Placement, Placer
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 __all__ = [
     "FLEETS",
@@ -107,7 +107,9 @@
 
 @register_strategy("priced")
 def _priced(load: FleetLoad, rng: random.Random, news_seconds: float) -> Place:
-    placer = Placer(load, EndpointHealth(), EnginePaces(), rng, lambda: news_seconds)
+    placer = Placer(
+        load, EndpointHealth(), EngineSlowdowns(), rng, lambda: news_seconds
+    )
     return placer.place
 
 
@@ -211,7 +213,7 @@
         parts = [Part(placement.endpoint_id), *placement.helpers]
         prompt.parts_left = len(parts)
         tokens = prompt.size.prompt_tokens
-        each = read_seconds(self._profile, tokens) / tokens
+        each = prefill_time(self._profile, tokens) / tokens
         for part in parts:
             reading = Reading(
                 prompt,
@@ -266,8 +268,8 @@
                 is_written = home is engine and bool(wrote)
                 home.writers.append(prompt)
                 jobs = self._loads[prompt.daemon].jobs_of(prompt.name)
-                writing = [j._replace(writing=True) for j in jobs if j.held_tokens]
-                self._put(prompt, writing, now)
+                decoding = [j._replace(decoding=True) for j in jobs if j.held_tokens]
+                self._put(prompt, decoding, now)
                 if is_written:
                     self._event(prompt, now)
                 self._start(home, now)
--- a/cranberrywick/bench/request_path.py
+++ b/cranberrywick/bench/request_path.py
@@ -28,9 +28,9 @@
     PromptSize,
     Service,
 )
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.relays import news_seconds
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 __all__ = ["Fleet", "measure"]
 
@@ -76,7 +76,7 @@
                 f"e{rng.randrange(fleet.engines)}",
                 *(rng.choice((5_000, 5_000, 5_000, 45_000)), 0.03),
                 *(NOW - rng.random(), NOW + 0.05, NOW + 0.3),
-                writing=rng.random() < 0.7,
+                decoding=rng.random() < 0.7,
                 gap_seconds=0.25,
             )
             for _ in range(per_daemon)
@@ -107,7 +107,7 @@
     placer = Placer(
         _load(fleet, rng),
         EndpointHealth(),
-        EnginePaces(),
+        EngineSlowdowns(),
         rng,
         lambda: news_seconds(fleet.daemons),
     )
--- a/cranberrywick/gateway/app.py
+++ b/cranberrywick/gateway/app.py
@@ -52,7 +52,7 @@
         placer = Placer(
             news.load,
             health,
-            news.paces,
+            news.slowdowns,
             self._rng,
             lambda: news.delay_seconds,
             news.limits.wait_seconds,
--- a/cranberrywick/gateway/fleet_news.py
+++ b/cranberrywick/gateway/fleet_news.py
@@ -29,13 +29,13 @@
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.members import Heartbeat, Members, heartbeat_seconds
 from cranberrywick.routing.model import GatewaySettings
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.relays import (
     FLUSH_SECONDS,
     JOB_NEWS_SECONDS,
     KEEPALIVE_SECONDS,
     news_seconds,
 )
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 __all__ = ["FleetNews", "NewsListener", "Standing"]
 
@@ -97,7 +97,7 @@
         contact = settings.bounds.contact_seconds
         self.members = Members(settings.daemon_id, contact)
         self.load = FleetLoad()
-        self.paces = EnginePaces()
+        self.slowdowns = EngineSlowdowns()
         self.limits = FleetLimits(
             settings.daemon_id,
             self.members,
@@ -143,7 +143,7 @@
         """Tell the others at once what this daemon now has at endpoints."""
         self._tell_within(JOB_NEWS_SECONDS)
 
-    def pace_changed(self) -> None:
+    def slowdown_changed(self) -> None:
         """Tell the others soon that an engine is found to be slow, or fast again."""
         self._tell_within(JOB_NEWS_SECONDS)
 
@@ -224,7 +224,7 @@
             operator_digest=standing.operator_digest,
             operator_age=standing.operator_age,
             jobs=self.load.own,
-            slow_engines=self.paces.own(now),
+            slow_engines=self.slowdowns.own(now),
             limits=self.limits.reports(now),
         )
 
@@ -297,7 +297,7 @@
         if is_unknown:
             self._met_ids.append(daemon_id)
         self.load.receive(daemon_id, heartbeat.jobs, heard_at)
-        self.paces.receive(heartbeat.slow_engines, heard_at)
+        self.slowdowns.receive(heartbeat.slow_engines, heard_at)
         self._receive_limits(heartbeat)
         self._listener.heartbeat_heard(heartbeat, heard_at)
         return True
--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -174,7 +174,7 @@
         if exchange.first_event_at is None:
             exchange.first_event_at = now
         jobs = [
-            job._replace(writing=True, first_event_at=now)
+            job._replace(decoding=True, first_event_at=now)
             for job in self._state.load.jobs_of(exchange.key)
             if job.held_tokens
         ]
--- a/cranberrywick/gateway/heartbeat_rows.py
+++ b/cranberrywick/gateway/heartbeat_rows.py
@@ -17,7 +17,7 @@
 from cranberrywick.routing.endpoint_limits import LimitReport
 from cranberrywick.routing.load import Job
 from cranberrywick.routing.members import Heartbeat
-from cranberrywick.routing.pace import EnginePace
+from cranberrywick.routing.slowdown import EngineSlowdown
 
 __all__ = ["PassedOn", "RelayNews", "milliseconds", "pack_news", "unpack_news"]
 
@@ -56,11 +56,11 @@
 class _JobRow(NamedTuple):
     endpoint_id: str
     held_tokens: _Count
-    reading_ms: _Milliseconds
+    prefill_ms: _Milliseconds
     age_ms: _Milliseconds
     first_event_ms: _Milliseconds
     due_ms: _SignedMilliseconds
-    writing: bool
+    decoding: bool
     helper: bool
     joint: bool
     gap_ms: _Milliseconds
@@ -87,7 +87,7 @@
     operator_digest: _Count
     operator_age_ms: _Milliseconds
     jobs: tuple[_JobRow, ...]
-    slow_engines: tuple[EnginePace, ...]
+    slow_engines: tuple[EngineSlowdown, ...]
     limits: tuple[_LimitRow, ...] = ()
 
 
@@ -151,11 +151,11 @@
         _JobRow(
             job.endpoint_id,
             job.held_tokens,
-            milliseconds(job.reading_seconds),
+            milliseconds(job.prefill_seconds),
             milliseconds(now - job.started_at),
             milliseconds(job.first_event_at - now),
             _signed_milliseconds(job.due_at - now),
-            job.writing,
+            job.decoding,
             job.helper,
             job.joint,
             milliseconds(job.gap_seconds),
@@ -182,11 +182,11 @@
         Job(
             endpoint_id,
             held_tokens,
-            reading / 1000,
+            prefill / 1000,
             now - age / 1000,
             now + first_event / 1000,
             now + due / 1000,
-            writing,
+            decoding,
             helper,
             joint,
             gap / 1000,
@@ -195,11 +195,11 @@
         for (
             endpoint_id,
             held_tokens,
-            reading,
+            prefill,
             age,
             first_event,
             due,
-            writing,
+            decoding,
             helper,
             joint,
             gap,
--- a/cranberrywick/gateway/observations.py
+++ b/cranberrywick/gateway/observations.py
@@ -9,7 +9,7 @@
 from cranberrywick.gateway.state import FleetState
 from cranberrywick.logs import EventLog
 from cranberrywick.platform.headers import ResponseMeta
-from cranberrywick.routing.pace import StreamPauses, call_pace
+from cranberrywick.routing.slowdown import StreamPauses, call_slowdown
 
 __all__ = ["EndpointObservations"]
 
@@ -51,21 +51,25 @@
 
         def record(endpoint_id: str, seconds: float) -> None:
             # What the engine is known to read meanwhile says nothing of its pace.
-            pace = pauses.record(seconds - self._state.load.reading_at(endpoint_id))
-            if pace is not None:
-                self._note_pace(exchange, endpoint_id, pace)
+            slowdown = pauses.record(
+                seconds - self._state.load.prefill_seconds_at(endpoint_id)
+            )
+            if slowdown is not None:
+                self._record_slowdown(exchange, endpoint_id, slowdown)
 
         return record
 
-    def _note_pace(self, exchange: Exchange, endpoint_id: str, pace: float) -> None:
+    def _record_slowdown(
+        self, exchange: Exchange, endpoint_id: str, slowdown: float
+    ) -> None:
         news = self._state.news
-        if not news.paces.observe(endpoint_id, pace, self._loop.time()):
+        if not news.slowdowns.observe(endpoint_id, slowdown, self._loop.time()):
             return
-        news.pace_changed()
+        news.slowdown_changed()
         self._log.warning(
             "endpoint_pace_changed",
             endpoint=endpoint_id,
-            pace=pace,
+            pace=slowdown,
             request_id=exchange.meta.request_id,
         )
 
@@ -74,8 +78,8 @@
         if exchange.is_stream:
             return
         seconds = self._loop.time() - exchange.sent_at
-        pace = call_pace(seconds, exchange.route.target_seconds)
+        slowdown = call_slowdown(seconds, exchange.route.target_seconds)
         # One within its target says nothing: calls differ, and a short one is quick at
         # a slow endpoint too.
-        if pace > 1:
-            self._note_pace(exchange, exchange.endpoint_id, pace)
+        if slowdown > 1:
+            self._record_slowdown(exchange, exchange.endpoint_id, slowdown)
--- a/cranberrywick/platform/documents.py
+++ b/cranberrywick/platform/documents.py
@@ -113,7 +113,7 @@
         writer_seconds=number(row, "per_seq_ms", 0) / 1000,
         # Given for a thousand tokens.
         context_seconds=number(row, "context_per_k", 0) / 1000 / 1000,
-        read_rate=number(row, "read_per_s"),
+        prefill_rate=number(row, "read_per_s"),
         # Given for a million pairs.
         pair_seconds=number(row, "pairs_per_m", 0) / 1000 / 1e6,
         chunk_tokens=whole(row, "chunk", 2048),
--- a/cranberrywick/routing/demand.py
+++ b/cranberrywick/routing/demand.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from cranberrywick.routing.endpoint_index import EndpointPool
-from cranberrywick.routing.engine_model import read_seconds
+from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.model import PromptSize, Service
 
 __all__ = ["PART_CHOICES", "Demand", "fits_fleet", "least_seconds", "may_answer"]
@@ -60,7 +60,7 @@
     engine = demand.service.engine
     if engine is None or demand.prompt is None:
         return 0.0
-    return read_seconds(engine, demand.prompt.prompt_tokens, PART_CHOICES[-1])
+    return prefill_time(engine, demand.prompt.prompt_tokens, PART_CHOICES[-1])
 
 
 def _has_answering(demand: Demand, usable: EndpointPool) -> bool:
--- a/cranberrywick/routing/engine_model.py
+++ b/cranberrywick/routing/engine_model.py
@@ -11,7 +11,7 @@
 one delays all that still wait, by the whole of its reading. A forecast that takes them
 for read as they came is off by seconds in a burst of long prompts.
 
->>> read_seconds(profile, prompt_tokens=154_000, parts=4)
+>>> prefill_time(profile, prompt_tokens=154_000, parts=4)
 0.763
 """
 
@@ -21,7 +21,7 @@
 from cranberrywick.routing.load import Job
 from cranberrywick.routing.model import EngineProfile
 
-__all__ = ["DELAY_PRICE", "EngineForecast", "forecast", "read_seconds"]
+__all__ = ["DELAY_PRICE", "EngineForecast", "forecast", "prefill_time"]
 
 # A new prompt waits for the end of the pass that is running: half of one on average.
 RUNNING_PASS_SHARE = 0.5
@@ -35,13 +35,13 @@
 DELAY_PRICE = 0.05
 
 
-def read_seconds(profile: EngineProfile, prompt_tokens: int, parts: int = 1) -> float:
+def prefill_time(profile: EngineProfile, prompt_tokens: int, parts: int = 1) -> float:
     """Return how long one of ``parts`` even parts of a prompt is read alone.
 
     Each token is compared with every one before it; the parts share these pairs.
     """
     pairs = prompt_tokens * prompt_tokens / 2
-    whole = prompt_tokens / profile.read_rate + pairs * profile.pair_seconds
+    whole = prompt_tokens / profile.prefill_rate + pairs * profile.pair_seconds
     return whole / parts
 
 
@@ -63,18 +63,18 @@
     """An engine's near future, in seconds from now.
 
     ``pass_seconds`` is what the steps of one pass take for the answers being
-    written, ``reading_seconds`` how long it still reads what it has. ``pace`` is how
-    many times as long as declared the engine takes, ``least_pause`` the shortest time
-    between two events of an answer.
+    written, ``prefill_seconds`` how long it still reads what it has. ``slowdown`` is
+    how many times as long as declared the engine takes, ``least_pause`` the shortest
+    time between two events of an answer.
     """
 
     now: float
-    pace: float
+    slowdown: float
     least_pause: float
     pass_seconds: float
-    reading_seconds: float
+    prefill_seconds: float
     pending: Sequence[Pending]
-    writing: Sequence[Job]
+    decoding: Sequence[Job]
 
     def _overtakes(self, joint: bool) -> bool:
         """Whether a new part would be read before what waits here."""
@@ -86,11 +86,11 @@
         A part of a ``joint`` prompt goes ahead of other reading, but not of the pass
         that runs: with answers being written, that one reads most of what waits.
         """
-        before = 0.0 if self._overtakes(joint) else self.reading_seconds
+        before = 0.0 if self._overtakes(joint) else self.prefill_seconds
         # Even at an engine that writes nothing yet, the first event comes after a pass.
         steps = max(self.pass_seconds, self.least_pause)
         running = RUNNING_PASS_SHARE * self.pass_seconds
-        return before + self.pace * own_reading + running + steps
+        return before + self.slowdown * own_reading + running + steps
 
     def breaks(self, gap_seconds: float, joint: bool = False) -> bool:
         """Whether an answer that begins here now has a longer pause than this.
@@ -100,14 +100,14 @@
         """
         pause = self.least_pause
         if self._overtakes(joint):
-            pause += self.reading_seconds
+            pause += self.prefill_seconds
         return pause > GAP_MARGIN * gap_seconds
 
     def interference(self, reading: float, joint: bool = False) -> float:
         """Return the value of the requests here that more reading makes late."""
-        seconds = self.pace * reading
-        pause = self.pass_seconds + self.reading_seconds
-        cost = sum(_broken(job, pause, seconds) for job in self.writing)
+        seconds = self.slowdown * reading
+        pause = self.pass_seconds + self.prefill_seconds
+        cost = sum(_broken(job, pause, seconds) for job in self.decoding)
         for job, ready_in in self.pending:
             if joint:
                 cost += self._overtaking_cost(job, ready_in, seconds)
@@ -130,24 +130,24 @@
 
 
 def forecast(
-    profile: EngineProfile, jobs: Sequence[Job], now: float, pace: float = 1.0
+    profile: EngineProfile, jobs: Sequence[Job], now: float, slowdown: float = 1.0
 ) -> EngineForecast:
     """Return what is to come at an engine with these jobs."""
-    pending, reading_seconds = _pending(jobs, now)
+    pending, prefill_seconds = _pending(jobs, now)
     return EngineForecast(
         now=now,
-        pace=pace,
-        least_pause=pace * profile.stride * profile.step_seconds,
-        pass_seconds=pace * _pass_seconds(profile, jobs),
-        reading_seconds=reading_seconds,
+        slowdown=slowdown,
+        least_pause=slowdown * profile.stride * profile.step_seconds,
+        pass_seconds=slowdown * _pass_seconds(profile, jobs),
+        prefill_seconds=prefill_seconds,
         pending=pending,
-        writing=[job for job in jobs if job.writing and not job.helper],
+        decoding=[job for job in jobs if job.decoding and not job.helper],
     )
 
 
 def _pending(jobs: Sequence[Job], now: float) -> tuple[list[Pending], float]:
     """Return what is still read, in the order in which that ends, and for how long."""
-    waiting = [job for job in jobs if not job.writing]
+    waiting = [job for job in jobs if not job.decoding]
     if not waiting:
         return [], 0.0
     waiting.sort(key=lambda job: job.started_at)
@@ -159,7 +159,7 @@
     for job in waiting:
         _read(stack, line, job.started_at - read_until)
         read_until = max(read_until, job.started_at)
-        (stack if job.joint else line).append(_Unread(job, job.reading_seconds))
+        (stack if job.joint else line).append(_Unread(job, job.prefill_seconds))
     _read(stack, line, now - read_until)
     pending, total = [], 0.0
     for job, seconds in [*reversed(stack), *line]:
@@ -184,7 +184,7 @@
     writers = 0
     context = 0
     for job in jobs:
-        if job.writing:
+        if job.decoding:
             writers += 1
             context += job.held_tokens
     if not writers:
--- a/cranberrywick/routing/load.py
+++ b/cranberrywick/routing/load.py
@@ -23,9 +23,9 @@
 class Job(NamedTuple):
     """One request, or a helper's part of one, at an endpoint.
 
-    ``held_tokens`` is the engine memory that it takes there, ``reading_seconds`` how
+    ``held_tokens`` is the engine memory that it takes there, ``prefill_seconds`` how
     long the engine reads for it. ``first_event_at`` is when that is expected to have
-    ended; ``writing`` says that it has. ``helper`` marks a part of a prompt that
+    ended; ``decoding`` says that it has. ``helper`` marks a part of a prompt that
     another endpoint answers, ``joint`` any part of a prompt that several read. The
     prompt's first event is on time until ``due_at`` and a pause between events up to
     ``gap_seconds``; ``value`` is what is lost when it is late, in requests of the
@@ -34,11 +34,11 @@
 
     endpoint_id: str
     held_tokens: int
-    reading_seconds: float
+    prefill_seconds: float
     started_at: float
     first_event_at: float
     due_at: float = float("inf")
-    writing: bool = False
+    decoding: bool = False
     helper: bool = False
     joint: bool = False
     gap_seconds: float = float("inf")
@@ -113,10 +113,10 @@
         """Return the jobs at an endpoint."""
         return self._indexed().get(endpoint_id, ())
 
-    def reading_at(self, endpoint_id: str) -> float:
+    def prefill_seconds_at(self, endpoint_id: str) -> float:
         """Return how many seconds of reading an endpoint has been given."""
         jobs = self.at(endpoint_id)
-        return sum(job.reading_seconds for job in jobs if not job.writing)
+        return sum(job.prefill_seconds for job in jobs if not job.decoding)
 
     def _indexed(self) -> Mapping[str, list[Job]]:
         if self._jobs_by_endpoint is None:
--- a/cranberrywick/routing/members.py
+++ b/cranberrywick/routing/members.py
@@ -10,8 +10,8 @@
 
 from cranberrywick.routing.endpoint_limits import LimitReport
 from cranberrywick.routing.load import Job
-from cranberrywick.routing.pace import EnginePace
 from cranberrywick.routing.relays import needs_relays
+from cranberrywick.routing.slowdown import EngineSlowdown
 
 __all__ = ["Heartbeat", "Member", "Members", "heartbeat_seconds"]
 
@@ -58,7 +58,7 @@
     operator_digest: int
     operator_age: float
     jobs: Sequence[Job]
-    slow_engines: Sequence[EnginePace] = ()
+    slow_engines: Sequence[EngineSlowdown] = ()
     limits: Sequence[LimitReport] = ()
 
 
--- a/cranberrywick/routing/model.py
+++ b/cranberrywick/routing/model.py
@@ -70,7 +70,7 @@
 
     A step writes one token for each running answer and takes ``step_seconds``
     plus, for each answer, ``writer_seconds`` and ``context_seconds`` for each token
-    of its context. Reading takes ``1 / read_rate`` a token and ``pair_seconds`` for
+    of its context. Reading takes ``1 / prefill_rate`` a token and ``pair_seconds`` for
     each pair of a token and an earlier one, ``chunk_tokens`` at a time. A pass
     with running answers makes ``stride`` steps. ``usual_prompt_tokens`` is the mean
     length of a prompt.
@@ -82,7 +82,7 @@
     step_seconds: float
     writer_seconds: float
     context_seconds: float
-    read_rate: float
+    prefill_rate: float
     pair_seconds: float
     chunk_tokens: int
     usual_prompt_tokens: float
--- a/cranberrywick/routing/placement.py
+++ b/cranberrywick/routing/placement.py
@@ -19,12 +19,11 @@
 from cranberrywick.routing.candidates import Candidate, Candidates, LimitWait, sound
 from cranberrywick.routing.demand import PART_CHOICES, Demand, may_answer
 from cranberrywick.routing.endpoint_index import EndpointPool
-from cranberrywick.routing.engine_model import forecast, read_seconds
+from cranberrywick.routing.engine_model import forecast, prefill_time
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.limited_choice import within_limits
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import EngineProfile, PromptSize
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.part_choice import (
     ENGINE_PRICE,
     IN_FLIGHT_PRICE,
@@ -35,6 +34,7 @@
     choose,
     weighted_random,
 )
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 __all__ = [
     "Part",
@@ -101,7 +101,7 @@
         self,
         load: FleetLoad,
         health: EndpointHealth,
-        paces: EnginePaces,
+        slowdowns: EngineSlowdowns,
         rng: random.Random,
         news_seconds: Callable[[], float],
         limit_wait: LimitWait = _no_wait,
@@ -109,7 +109,7 @@
         self._load = load
         self._health = health
         self._candidates = Candidates(load, health, rng, limit_wait)
-        self._paces = paces
+        self._slowdowns = slowdowns
         self._rng = rng
         self._news_seconds = news_seconds
 
@@ -164,9 +164,9 @@
             share = self._health.failure_share(endpoint_id, now)
             # Rounded: a share that has all but decayed must not decide for good.
             occupied = len(candidate.jobs) + round(FAILURE_JOBS * share, 1)
-            pace = self._paces.pace(endpoint_id, now, is_long=False)
+            slowdown = self._slowdowns.slowdown(endpoint_id, now, is_long=False)
             away = record.failure_domain != demand.failure_domain
-            return (1 + occupied) * pace, away, self._rng.random()
+            return (1 + occupied) * slowdown, away, self._rng.random()
 
         best = min(candidates, key=cost)
         job = Job(best.endpoint_id, 0, 0.0, now, now)
@@ -193,7 +193,7 @@
                 continue
             if best is not None and ENGINE_PRICE * (parts - 1) >= best[0].cost:
                 break  # More parts cost more than all that they could save.
-            reading = read_seconds(profile, prompt.prompt_tokens, parts)
+            reading = prefill_time(profile, prompt.prompt_tokens, parts)
             work = Work(
                 demand.target_seconds, demand.gap_seconds, reading, parts > 1, value
             )
@@ -231,10 +231,12 @@
             job.gap_seconds <= sensitive_gap and not job.helper for job in jobs
         ):
             answer_price += FRESH_ENGINE_PRICE
-        pace = self._paces.pace(candidate.endpoint_id, now, is_long=not is_sensitive)
+        slowdown = self._slowdowns.slowdown(
+            candidate.endpoint_id, now, is_long=not is_sensitive
+        )
         return Engine(
             candidate.endpoint_id,
-            forecast(profile, jobs, now, pace),
+            forecast(profile, jobs, now, slowdown),
             profile.memory_tokens - held,
             answer_price,
             self._health.failure_share(candidate.endpoint_id, now),
@@ -256,7 +258,7 @@
 def _sensitive_gap(profile: EngineProfile) -> float:
     """Return up to which pause limit a stream is latency-sensitive."""
     usual = round(profile.usual_prompt_tokens)
-    return SENSITIVE_READINGS * read_seconds(profile, usual)
+    return SENSITIVE_READINGS * prefill_time(profile, usual)
 
 
 def _placement(
@@ -274,7 +276,7 @@
     main = Job(
         endpoint_id=first.endpoint_id,
         held_tokens=kept,
-        reading_seconds=choice.reading,
+        prefill_seconds=choice.reading,
         started_at=now,
         first_event_at=expected_at,
         due_at=demand.due_at,
--- a/cranberrywick/routing/pace.py
+++ b/cranberrywick/routing/slowdown.py
@@ -12,13 +12,13 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-__all__ = ["EnginePace", "EnginePaces", "StreamPauses", "call_pace"]
+__all__ = ["EngineSlowdown", "EngineSlowdowns", "StreamPauses", "call_slowdown"]
 
 # Pauses in a row that must all be too long: one or two can be a prompt being read.
 PAUSES = 3
 # From so many times the declared pass on, an engine counts as slow: full of answers
 # with long contexts, it takes some 1.3 times as long.
-SLOW_PACE = 2.0
+SLOW_FACTOR = 2.0
 # For how long an observation is told, and keeps short prompts away. Streams that go on
 # renew it; after them short prompts try a slow engine again.
 HOLD_SECONDS = 2.0
@@ -27,11 +27,11 @@
 LONG_HOLD_SECONDS = 15.0
 
 
-class EnginePace(NamedTuple):
+class EngineSlowdown(NamedTuple):
     """How many times as long as declared an engine takes."""
 
     endpoint_id: str
-    pace: float
+    slowdown: float
 
 
 class StreamPauses:
@@ -54,45 +54,45 @@
         return max(1.0, min(self._pauses) / self._pass_seconds)
 
 
-def call_pace(seconds: float, target_seconds: float) -> float:
+def call_slowdown(seconds: float, target_seconds: float) -> float:
     """Return how many times as long as it should a plain call took.
 
     Up to its target it says nothing: calls differ. Beyond it, the endpoint is slow.
 
-    >>> call_pace(0.06, 0.3), call_pace(0.6, 0.3)
+    >>> call_slowdown(0.06, 0.3), call_slowdown(0.6, 0.3)
     (1.0, 4.0)
     """
-    return SLOW_PACE * seconds / target_seconds if seconds > target_seconds else 1.0
+    return SLOW_FACTOR * seconds / target_seconds if seconds > target_seconds else 1.0
 
 
 class _Observation(NamedTuple):
-    pace: float
+    slowdown: float
     seen_at: float
 
 
-class EnginePaces:
+class EngineSlowdowns:
     """The last paces of engines that were slow, as seen here and by peers."""
 
     def __init__(self) -> None:
         self._own: dict[str, _Observation] = {}
         self._heard: dict[str, _Observation] = {}
 
-    def observe(self, endpoint_id: str, pace: float, now: float) -> bool:
+    def observe(self, endpoint_id: str, slowdown: float, now: float) -> bool:
         """Note what a stream shows; True if it changes what is believed."""
-        was_slow = self.pace(endpoint_id, now, is_long=True) >= SLOW_PACE
-        is_slow = pace >= SLOW_PACE
+        was_slow = self.slowdown(endpoint_id, now, is_long=True) >= SLOW_FACTOR
+        is_slow = slowdown >= SLOW_FACTOR
         if is_slow or was_slow:
-            self._own[endpoint_id] = _Observation(pace if is_slow else 1.0, now)
+            self._own[endpoint_id] = _Observation(slowdown if is_slow else 1.0, now)
         return is_slow != was_slow
 
-    def receive(self, paces: Iterable[EnginePace], seen_at: float) -> None:
+    def receive(self, slowdowns: Iterable[EngineSlowdown], seen_at: float) -> None:
         """Take what a peer has seen."""
-        for endpoint_id, pace in paces:
+        for endpoint_id, slowdown in slowdowns:
             known = self._heard.get(endpoint_id)
             if known is None or known.seen_at < seen_at:
-                self._heard[endpoint_id] = _Observation(pace, seen_at)
+                self._heard[endpoint_id] = _Observation(slowdown, seen_at)
 
-    def pace(self, endpoint_id: str, now: float, is_long: bool) -> float:
+    def slowdown(self, endpoint_id: str, now: float, is_long: bool) -> float:
         """Return how many times as long as declared an engine takes; 1 by default.
 
         ``is_long`` says whether it is asked for a long prompt, which trusts a slow
@@ -101,16 +101,16 @@
         seen = (self._own.get(endpoint_id), self._heard.get(endpoint_id))
         last = max(filter(None, seen), key=lambda s: s.seen_at, default=None)
         hold = LONG_HOLD_SECONDS if is_long else HOLD_SECONDS
-        return last.pace if last and now - last.seen_at <= hold else 1.0
+        return last.slowdown if last and now - last.seen_at <= hold else 1.0
 
-    def own(self, now: float) -> list[EnginePace]:
+    def own(self, now: float) -> list[EngineSlowdown]:
         """Return what this daemon has seen lately itself, to be told to the others."""
-        for paces in (self._own, self._heard):
-            for endpoint_id, seen in list(paces.items()):
+        for slowdowns in (self._own, self._heard):
+            for endpoint_id, seen in list(slowdowns.items()):
                 if now - seen.seen_at > LONG_HOLD_SECONDS:
-                    del paces[endpoint_id]
+                    del slowdowns[endpoint_id]
         return [
-            EnginePace(endpoint_id, seen.pace)
+            EngineSlowdown(endpoint_id, seen.slowdown)
             for endpoint_id, seen in self._own.items()
             if now - seen.seen_at <= HOLD_SECONDS
         ]
--- a/tests/test_at_fault.py
+++ b/tests/test_at_fault.py
@@ -8,8 +8,8 @@
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 
 def beliefs(count):
@@ -40,7 +40,7 @@
     return Placer(
         FleetLoad(),
         EndpointHealth(),
-        EnginePaces(),
+        EngineSlowdowns(),
         random.Random(1),
         lambda: 0.0,
     )
--- a/tests/test_endpoint_index.py
+++ b/tests/test_endpoint_index.py
@@ -18,9 +18,9 @@
     PromptSize,
     Service,
 )
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.registry import EndpointRegistry
+from cranberrywick.routing.slowdown import EngineSlowdowns
 from cranberrywick.routing.usable import is_usable
 
 IDS = ("e1", "e2", "e3", "e4", "e5")
@@ -116,7 +116,7 @@
     pool = registry.index.ready("drafting", frozenset())
     assert fits_fleet(wanted, pool)
     placer = Placer(
-        load, EndpointHealth(), EnginePaces(), random.Random(1), lambda: 0.06
+        load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.06
     )
     return placer.place(wanted, pool, 1.0)
 
@@ -138,7 +138,7 @@
     """Guards against requests that wait at full engines while half of them are idle."""
     load = FleetLoad()
     for number in range(0, 3000, 2):
-        job = Job(f"i-{number:04}", 5_000, 0.03, 0.5, 0.6, writing=True)
+        job = Job(f"i-{number:04}", 5_000, 0.03, 0.5, 0.6, decoding=True)
         load.receive(f"of-{number}", [job] * 8, 1.0)
     assert place(load, demand()) is not None
 
--- a/tests/test_last_resort.py
+++ b/tests/test_last_resort.py
@@ -18,9 +18,9 @@
     OperatorView,
     Service,
 )
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.registry import EndpointRegistry
+from cranberrywick.routing.slowdown import EngineSlowdowns
 from cranberrywick.routing.usable import Restrictions, last_resort, usable_until
 
 DRAIN_SECONDS = 3.0
@@ -149,7 +149,9 @@
 
 
 def placed(health, ready, resort):
-    placer = Placer(FleetLoad(), health, EnginePaces(), random.Random(1), lambda: 0.0)
+    placer = Placer(
+        FleetLoad(), health, EngineSlowdowns(), random.Random(1), lambda: 0.0
+    )
     pools = [
         EndpointPool.of([EndpointBelief(record(i), float("-inf")) for i in ids])
         for ids in (ready, resort)
@@ -181,7 +183,7 @@
     """Guards against new work at leaving endpoints in a mere burst."""
     load = FleetLoad()
     placer = Placer(
-        load, EndpointHealth(), EnginePaces(), random.Random(1), lambda: 0.0
+        load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.0
     )
     pool = EndpointPool.of([EndpointBelief(record("e1"), float("-inf"))])
     resort = EndpointPool.of([EndpointBelief(record("e3"), float("-inf"))])
--- a/tests/test_limited_choice.py
+++ b/tests/test_limited_choice.py
@@ -11,9 +11,9 @@
 from cranberrywick.routing.limited_choice import limited_seconds
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.retry_after import LimitedReturns
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 CALLS = Service("notices", 0.0, 0.0, None)
 PROMPTS = Service("drafting", 0.0, 0.0, PROFILE)
@@ -44,7 +44,7 @@
     placer = Placer(
         FleetLoad(),
         EndpointHealth(),
-        EnginePaces(),
+        EngineSlowdowns(),
         random.Random(1),
         lambda: 0.0,
         lambda endpoint_id, now: waits_by_id[endpoint_id],
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -10,7 +10,7 @@
 from cranberrywick.gateway.events import EventSplitter
 from cranberrywick.platform.documents import decode_configuration
 from cranberrywick.routing.directory import choose_addresses
-from cranberrywick.routing.engine_model import DELAY_PRICE, forecast, read_seconds
+from cranberrywick.routing.engine_model import DELAY_PRICE, forecast, prefill_time
 from cranberrywick.routing.freshness import ReadingPolicy
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
@@ -354,13 +354,13 @@
         return PROFILE
 
     def test_parts_divide_the_reading(self, profile):
-        whole = read_seconds(profile, 154_000)
+        whole = prefill_time(profile, 154_000)
         assert whole == pytest.approx(3.05, rel=0.01)
-        assert read_seconds(profile, 154_000, 4) == pytest.approx(whole / 4)
+        assert prefill_time(profile, 154_000, 4) == pytest.approx(whole / 4)
 
     def test_reading_harms_answers_whose_pauses_it_makes_too_long(self, profile):
         """What counts is the whole pass: its steps and all that is read in it."""
-        writer = Job("e1", 5000, 0.03, 0.0, 0.0, writing=True, gap_seconds=0.25)
+        writer = Job("e1", 5000, 0.03, 0.0, 0.0, decoding=True, gap_seconds=0.25)
         engine = forecast(profile, [writer], 1.0)
         assert engine.interference(0.1) == 0
         assert engine.interference(0.3) == 1
--- a/tests/test_pace.py
+++ b/tests/test_slowdown.py
@@ -11,15 +11,20 @@
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
-from cranberrywick.routing.pace import EnginePace, EnginePaces, StreamPauses, call_pace
 from cranberrywick.routing.placement import Placer
+from cranberrywick.routing.slowdown import (
+    EngineSlowdown,
+    EngineSlowdowns,
+    StreamPauses,
+    call_slowdown,
+)
 
 
 def test_one_long_pause_is_no_slow_engine():
     """A prompt was read between two events; the engine is as fast as ever."""
     pauses = StreamPauses(0.05)
-    paces = [pauses.record(seconds) for seconds in (0.05, 0.06, 0.6, 0.6, 0.05)]
-    assert max(pace for pace in paces if pace) < 2.0
+    slowdowns = [pauses.record(seconds) for seconds in (0.05, 0.06, 0.6, 0.6, 0.05)]
+    assert max(slowdown for slowdown in slowdowns if slowdown) < 2.0
 
 
 def test_pauses_that_are_all_long_show_the_pace():
@@ -29,42 +34,42 @@
 
 def test_a_slow_engine_is_told_and_tried_again():
     """Short prompts try a slow engine again after two seconds, long ones much later."""
-    paces, peers = EnginePaces(), EnginePaces()
-    assert paces.observe("e1", 5.0, 0.0)
-    assert not paces.observe("e1", 5.0, 0.5)
-    peers.receive(paces.own(0.5), 0.6)
-    assert peers.pace("e1", 2.5, is_long=False) == 5.0
-    assert peers.pace("e1", 2.7, is_long=False) == 1.0
-    assert peers.pace("e1", 10.0, is_long=True) == 5.0
-    assert peers.pace("e1", 16.0, is_long=True) == 1.0
-    assert paces.own(2.6) == []
+    slowdowns, peers = EngineSlowdowns(), EngineSlowdowns()
+    assert slowdowns.observe("e1", 5.0, 0.0)
+    assert not slowdowns.observe("e1", 5.0, 0.5)
+    peers.receive(slowdowns.own(0.5), 0.6)
+    assert peers.slowdown("e1", 2.5, is_long=False) == 5.0
+    assert peers.slowdown("e1", 2.7, is_long=False) == 1.0
+    assert peers.slowdown("e1", 10.0, is_long=True) == 5.0
+    assert peers.slowdown("e1", 16.0, is_long=True) == 1.0
+    assert slowdowns.own(2.6) == []
 
 
 def test_an_engine_that_is_fast_again_is_told_too():
     """Long prompts go there at once, and do not wait for the news to get old."""
-    paces, peers = EnginePaces(), EnginePaces()
-    paces.observe("e1", 5.0, 0.0)
-    peers.receive(paces.own(0.0), 0.0)
-    assert paces.observe("e1", 1.1, 0.5)
-    peers.receive(paces.own(0.5), 0.5)
-    assert peers.pace("e1", 0.6, is_long=True) == 1.0
+    slowdowns, peers = EngineSlowdowns(), EngineSlowdowns()
+    slowdowns.observe("e1", 5.0, 0.0)
+    peers.receive(slowdowns.own(0.0), 0.0)
+    assert slowdowns.observe("e1", 1.1, 0.5)
+    peers.receive(slowdowns.own(0.5), 0.5)
+    assert peers.slowdown("e1", 0.6, is_long=True) == 1.0
 
 
 def test_an_engine_that_was_never_slow_is_not_told():
-    paces = EnginePaces()
-    assert not paces.observe("e1", 1.1, 0.0)
-    assert paces.own(0.0) == []
+    slowdowns = EngineSlowdowns()
+    assert not slowdowns.observe("e1", 1.1, 0.0)
+    assert slowdowns.own(0.0) == []
 
 
 def test_old_news_of_a_pace_does_not_replace_newer():
-    paces = EnginePaces()
-    paces.receive([EnginePace("e1", 5.0)], 2.0)
-    paces.receive([EnginePace("e1", 2.5)], 1.0)
-    assert paces.pace("e1", 2.5, is_long=False) == 5.0
+    slowdowns = EngineSlowdowns()
+    slowdowns.receive([EngineSlowdown("e1", 5.0)], 2.0)
+    slowdowns.receive([EngineSlowdown("e1", 2.5)], 1.0)
+    assert slowdowns.slowdown("e1", 2.5, is_long=False) == 5.0
 
 
 def test_a_forecast_follows_the_pace():
-    slow = forecast(PROFILE, [], 0.0, pace=5.0)
+    slow = forecast(PROFILE, [], 0.0, slowdown=5.0)
     fast = forecast(PROFILE, [], 0.0)
     assert slow.first_event(0.1) == pytest.approx(5 * fast.first_event(0.1))
     assert slow.breaks(0.2) and not fast.breaks(0.2)
@@ -80,9 +85,9 @@
         EndpointBelief(EndpointRecord(f"e{n}", "pool", "", "", 8, False, 0.0, 1), -1.0)
         for n in range(4)
     ]
-    load, paces = FleetLoad(), EnginePaces()
-    paces.receive([EnginePace("e0", 5.0)], 0.0)
-    placer = Placer(load, EndpointHealth(), paces, random.Random(1), lambda: 0.0)
+    load, slowdowns = FleetLoad(), EngineSlowdowns()
+    slowdowns.receive([EngineSlowdown("e0", 5.0)], 0.0)
+    placer = Placer(load, EndpointHealth(), slowdowns, random.Random(1), lambda: 0.0)
     for number in range(12):
         demand = Demand(
             request_id=f"r{number}",
@@ -95,8 +100,8 @@
         )
         placement = placer.place(demand, EndpointPool.of(beliefs), 0.0)
         assert placement.endpoint_id != "e0"
-        writing = [j._replace(writing=True) for j in placement.jobs if j.held_tokens]
-        load.put(demand.request_id, writing)
+        decoding = [j._replace(decoding=True) for j in placement.jobs if j.held_tokens]
+        load.put(demand.request_id, decoding)
 
 
 def test_a_slow_plain_endpoint_gets_a_share_of_the_calls_only():
@@ -105,10 +110,10 @@
     The daemon that places them has not called it itself; a peer has seen a call there
     take four times its target.
     """
-    paces = EnginePaces()
-    paces.receive([EnginePace("slow", call_pace(1.2, 0.3))], 0.0)
+    slowdowns = EngineSlowdowns()
+    slowdowns.receive([EngineSlowdown("slow", call_slowdown(1.2, 0.3))], 0.0)
     load = FleetLoad()
-    placer = Placer(load, EndpointHealth(), paces, random.Random(1), lambda: 0.0)
+    placer = Placer(load, EndpointHealth(), slowdowns, random.Random(1), lambda: 0.0)
     pool = EndpointPool.of(
         [
             EndpointBelief(
@@ -129,6 +134,6 @@
 
 def test_a_call_within_its_target_says_nothing():
     """Guards against endpoints avoided for calls that merely differ."""
-    paces = EnginePaces()
-    assert not paces.observe("e1", call_pace(0.29, 0.3), 0.0)
-    assert paces.pace("e1", 0.1, is_long=False) == 1.0
+    slowdowns = EngineSlowdowns()
+    assert not slowdowns.observe("e1", call_slowdown(0.29, 0.3), 0.0)
+    assert slowdowns.slowdown("e1", 0.1, is_long=False) == 1.0
--- a/tests/test_unheard_requests.py
+++ b/tests/test_unheard_requests.py
@@ -12,8 +12,8 @@
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 SLOTS = 5
 GAP_SECONDS = 0.3
@@ -24,7 +24,7 @@
     """Return short answers that an engine has been writing for a while."""
     job = Job(
         *(endpoint_id, 5_000, 0.03, now - 0.8, now - 0.7),
-        writing=True,
+        decoding=True,
         gap_seconds=GAP_SECONDS,
     )
     return [job] * count
@@ -52,7 +52,7 @@
     for number in range(daemons):
         rng = random.Random(1000 * seed + number)
         placer = Placer(
-            load, EndpointHealth(), EnginePaces(), rng, lambda: news_seconds
+            load, EndpointHealth(), EngineSlowdowns(), rng, lambda: news_seconds
         )
         demand = Demand(
             *(f"r{number}", SERVICE, PromptSize(5_000, 800)),
