--- a/cranberrywick/bench/drawn_deployments.py
+++ b/cranberrywick/bench/drawn_deployments.py
@@ -15,7 +15,7 @@
 from cranberrywick.bench.prompts import Experiment, FleetShape, on_time_by_kind
 from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.model import EngineProfile
-from cranberrywick.routing.relays import news_seconds
+from cranberrywick.routing.relays import update_delay_seconds
 
 __all__ = ["DrawnDeployment", "draw_deployment", "worth_on_time"]
 
@@ -48,7 +48,7 @@
     load = rng.uniform(LEAST_LOAD, MOST_LOAD)
     # Longer prompts than the mean weigh more in the pairs: half as much again.
     rate = load * engines / (1.5 * work)
-    fleet = FleetShape(engines, daemons, news_seconds(daemons) + 0.002, rate)
+    fleet = FleetShape(engines, daemons, update_delay_seconds(daemons) + 0.002, rate)
     return DrawnDeployment(profile, fleet, kinds)
 
 
--- a/cranberrywick/bench/fleet_news.py
+++ b/cranberrywick/bench/fleet_news.py
@@ -18,7 +18,7 @@
 
 import click
 
-from cranberrywick.bench.simulated_news import NewsDaemon, NewsNetwork
+from cranberrywick.bench.simulated_network import SimulatedDaemon, SimulatedNetwork
 from cranberrywick.bench.virtual_time import run_in_virtual_time
 from cranberrywick.gateway.ticker import Ticker
 from cranberrywick.logs import EventLog
@@ -51,10 +51,12 @@
     def __init__(self, size: int, seconds: float, seed: int):
         self._seconds = seconds
         self._rng = random.Random(seed)
-        self._network = NewsNetwork()
+        self._network = SimulatedNetwork()
         self._engines = max(1, round(size * ENGINES_PER_DAEMON))
         self._daemons = [
-            NewsDaemon(self._network, f"front-{number:03}", f"fd-{number % DOMAINS}")
+            SimulatedDaemon(
+                self._network, f"front-{number:03}", f"fd-{number % DOMAINS}"
+            )
             for number in range(size)
         ]
         self._number = 0
@@ -64,9 +66,9 @@
         ticker = Ticker(EventLog())
         addresses_by_id = {daemon.name: daemon.address for daemon in self._daemons}
         for daemon in self._daemons:
-            await daemon.news.start(ticker)
+            await daemon.peer_updates.start(ticker)
             others = {i: a for i, a in addresses_by_id.items() if i != daemon.name}
-            daemon.news.know(others)
+            daemon.peer_updates.set_registered_addresses(others)
         load = asyncio.create_task(self._load())
         await asyncio.sleep(SETTLE_SECONDS)
         for daemon in self._daemons:
@@ -86,7 +88,7 @@
             await asyncio.sleep(self._rng.expovariate(rate))
             self._begin(self._rng.choice(self._daemons))
 
-    def _begin(self, daemon: NewsDaemon) -> None:
+    def _begin(self, daemon: SimulatedDaemon) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
         self._number += 1
@@ -100,12 +102,14 @@
         loop.call_later(FIRST_EVENT_SECONDS, self._write, daemon, request_id)
         loop.call_later(REQUEST_SECONDS, daemon.drop, request_id)
 
-    def _write(self, daemon: NewsDaemon, request_id: str) -> None:
-        jobs = daemon.news.load.jobs_of(request_id)
-        daemon.news.load.put(request_id, [job._replace(decoding=True) for job in jobs])
-        daemon.news.job_ended()
+    def _write(self, daemon: SimulatedDaemon, request_id: str) -> None:
+        jobs = daemon.peer_updates.load.jobs_of(request_id)
+        daemon.peer_updates.load.put(
+            request_id, [job._replace(decoding=True) for job in jobs]
+        )
+        daemon.peer_updates.job_ended()
 
-    def _cost(self, daemons: Sequence[NewsDaemon]) -> NewsCost:
+    def _cost(self, daemons: Sequence[SimulatedDaemon]) -> NewsCost:
         def each_second(values) -> float:
             return mean(values) / self._seconds
 
--- a/cranberrywick/bench/prompts.py
+++ b/cranberrywick/bench/prompts.py
@@ -28,7 +28,7 @@
     SimulatedPrompt,
 )
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
@@ -60,14 +60,14 @@
 class FleetShape(NamedTuple):
     """How many engines and daemons there are.
 
-    ``news_seconds`` is how late daemons hear of one another's prompts: half a send
-    interval and a hop, and in a fleet with relays their collecting as well. Arrivals
-    come ``rate`` times as often as `KINDS` says.
+    ``update_delay_seconds`` is how late daemons hear of one another's prompts: half a
+    send interval and a hop, and in a fleet with relays their collecting as well.
+    Arrivals come ``rate`` times as often as `KINDS` says.
     """
 
     engines: int
     daemons: int
-    news_seconds: float
+    update_delay_seconds: float
     rate: float
 
 
@@ -106,20 +106,20 @@
 
 
 @register_strategy("priced")
-def _priced(load: FleetLoad, rng: random.Random, news_seconds: float) -> Place:
+def _priced(load: FleetLoad, rng: random.Random, update_delay_seconds: float) -> Place:
     placer = Placer(
-        load, EndpointHealth(), EngineSlowdowns(), rng, lambda: news_seconds
+        load, EndpointHealth(), EngineSlowdowns(), rng, lambda: update_delay_seconds
     )
     return placer.place
 
 
 @register_strategy("fewest requests")
-def _fewest(load: FleetLoad, rng: random.Random, news_seconds: float) -> Place:
+def _fewest(load: FleetLoad, rng: random.Random, update_delay_seconds: float) -> Place:
     """Place each prompt whole at the engine with the fewest requests."""
 
     def place(demand: Demand, usable: EndpointPool, now: float) -> Placement:
-        def cost(belief: EndpointBelief) -> tuple[int, float]:
-            return len(load.at(belief.record.endpoint_id)), rng.random()
+        def cost(tracked: TrackedEndpoint) -> tuple[int, float]:
+            return len(load.at(tracked.record.endpoint_id)), rng.random()
 
         name = min(usable, key=cost).record.endpoint_id
         job = Job(name, demand.prompt.total, 0.0, now, now)
@@ -145,17 +145,19 @@
         self._profile = profile
         self._rng = random.Random(seed)
         self._kinds = [k._replace(per_second=k.per_second * fleet.rate) for k in kinds]
-        self._news_seconds = fleet.news_seconds
+        self._update_delay_seconds = fleet.update_delay_seconds
         self._engines = {
             f"e{n}": SimulatedEngine(f"e{n}", profile) for n in range(fleet.engines)
         }
         self._usable = EndpointPool.of(
-            [_belief(name, profile.slots) for name in self._engines]
+            [_tracked(name, profile.slots) for name in self._engines]
         )
         self._service = Service("pool", 0.0, 0.0, profile)
         self._loads = [FleetLoad() for _ in range(fleet.daemons)]
         self._places = [
-            STRATEGIES[strategy](load, random.Random(seed + n), fleet.news_seconds)
+            STRATEGIES[strategy](
+                load, random.Random(seed + n), fleet.update_delay_seconds
+            )
             for n, load in enumerate(self._loads)
         ]
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
@@ -233,7 +235,7 @@
             own.put(prompt.name, jobs)
         else:
             own.drop(prompt.name)
-        arrives = now + self._news_seconds
+        arrives = now + self._update_delay_seconds
         self._at(arrives, lambda later: self._tell(prompt, jobs, later))
 
     def _tell(self, prompt: SimulatedPrompt, jobs: Sequence[Job], now: float) -> None:
@@ -288,9 +290,9 @@
             self.results.append(_result(prompt))
 
 
-def _belief(name: str, slots: int) -> EndpointBelief:
+def _tracked(name: str, slots: int) -> TrackedEndpoint:
     record = EndpointRecord(name, "pool", "", "", slots, False, 0.0, 1)
-    return EndpointBelief(record, float("-inf"))
+    return TrackedEndpoint(record, float("-inf"))
 
 
 def _result(prompt: SimulatedPrompt) -> Result:
--- a/cranberrywick/bench/request_path.py
+++ b/cranberrywick/bench/request_path.py
@@ -16,7 +16,7 @@
 import click
 
 from cranberrywick.bench.prompt_engines import KINDS, PROFILE
-from cranberrywick.gateway.endpoint_knowledge import EndpointKnowledge
+from cranberrywick.gateway.endpoint_tracker import EndpointTracker
 from cranberrywick.logs import EventLog, make_handler
 from cranberrywick.routing.demand import Demand, fits_fleet
 from cranberrywick.routing.health import EndpointHealth
@@ -29,7 +29,7 @@
     Service,
 )
 from cranberrywick.routing.placement import Placer
-from cranberrywick.routing.relays import news_seconds
+from cranberrywick.routing.relays import update_delay_seconds
 from cranberrywick.routing.slowdown import EngineSlowdowns
 
 __all__ = ["Fleet", "measure"]
@@ -96,24 +96,24 @@
     """Return milliseconds by activity."""
     rng = random.Random(1)
     view = _view(fleet)
-    knowledge = EndpointKnowledge(EventLog())
+    tracker = EndpointTracker(EventLog())
     figures = {}
-    whole = EndpointKnowledge(EventLog())
-    whole.take(view, NOW - 2.0, NOW - 2.0)
-    reading = whole.whole_reading(NOW - 1.0)
+    whole = EndpointTracker(EventLog())
+    whole.apply_store_snapshot(view, NOW - 2.0, NOW - 2.0)
+    snapshot = whole.full_snapshot(NOW - 1.0)
     figures["all endpoints at a start"] = _milliseconds(
-        lambda: knowledge.take_news(reading, NOW - 1.0), 1
+        lambda: tracker.apply_peer_snapshot(snapshot, NOW - 1.0), 1
     )
     placer = Placer(
         _load(fleet, rng),
         EndpointHealth(),
         EngineSlowdowns(),
         rng,
-        lambda: news_seconds(fleet.daemons),
+        lambda: update_delay_seconds(fleet.daemons),
     )
 
     def place(service: Service, prompt: PromptSize | None, target: float) -> None:
-        pool = knowledge.registry.index.ready(service.name, frozenset())
+        pool = tracker.registry.index.ready(service.name, frozenset())
         demand = Demand(
             *("r", service, prompt, target, NOW + target, 0.25, "fd-a"),
         )
@@ -129,25 +129,25 @@
     figures["placement, plain call"] = _milliseconds(
         lambda: place(CALLS, None, 0.3), times
     )
-    figures["one endpoint's change"] = _changes(knowledge, view, times)
+    figures["one endpoint's change"] = _changes(tracker, view, times)
     figures["a request's log line"] = _log_line(times)
     return figures
 
 
-def _changes(knowledge: EndpointKnowledge, view: EndpointView, times: int) -> float:
+def _changes(tracker: EndpointTracker, view: EndpointView, times: int) -> float:
     """Let a peer tell of one endpoint after the other that it is leaving."""
-    teller = EndpointKnowledge(EventLog())
-    teller.take(view, NOW - 1.0, NOW - 1.0)
-    readings = []
+    teller = EndpointTracker(EventLog())
+    teller.apply_store_snapshot(view, NOW - 1.0, NOW - 1.0)
+    snapshots = []
     for number in range(times):
         name = f"e{number % 18}"
         draining = not view.records_by_id[name].draining
         record = view.records_by_id[name]._replace(draining=draining)
         view = view.with_delta(EndpointDelta((record,), ()), view.revision + 1)
         at = NOW + number * 0.1
-        readings.append((teller.take(view, at, at).reading, at))
-    pending = iter(readings)
-    return _milliseconds(lambda: knowledge.take_news(*next(pending)), times)
+        snapshots.append((teller.apply_store_snapshot(view, at, at).snapshot, at))
+    pending = iter(snapshots)
+    return _milliseconds(lambda: tracker.apply_peer_snapshot(*next(pending)), times)
 
 
 def _log_line(times: int) -> float:
--- a/cranberrywick/bench/simulated_news.py
+++ b/cranberrywick/bench/simulated_network.py
@@ -9,27 +9,27 @@
 from math import inf
 from types import SimpleNamespace
 
-from cranberrywick.gateway.endpoint_reading import EndpointReading
-from cranberrywick.gateway.fleet_news import FleetNews, Standing
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
 from cranberrywick.gateway.messages import (
     Message,
     Scope,
-    Wanted,
+    SnapshotRequest,
     decode_message,
     encode_message,
 )
+from cranberrywick.gateway.peer_updates import DaemonStatus, PeerUpdates
 from cranberrywick.logs import EventLog
 from cranberrywick.routing.load import Job
 from cranberrywick.routing.members import Heartbeat
 
-__all__ = ["NewsDaemon", "NewsNetwork"]
+__all__ = ["SimulatedDaemon", "SimulatedNetwork"]
 
 HOP_SECONDS = 0.001
 
 _incarnations = count(1)
 
 
-class NewsNetwork:
+class SimulatedNetwork:
     """Carries datagrams between daemons; some are cut off, a share is lost.
 
     ``cut`` has the addresses that reach nobody, ``is_cut`` tells whether one address
@@ -38,7 +38,7 @@
     """
 
     def __init__(self) -> None:
-        self.daemons_by_address: dict[str, NewsDaemon] = {}
+        self.daemons_by_address: dict[str, SimulatedDaemon] = {}
         self.cut: set[str] = set()
         self.is_cut: Callable[[str, str], bool] = lambda source, address: False
         self.loss = 0.0
@@ -60,7 +60,7 @@
             loop.call_later(HOP_SECONDS, daemon.receive, data, source)
 
 
-class NewsDaemon:
+class SimulatedDaemon:
     """One daemon's news, with a link into the network in place of sockets.
 
     ``hearing_seconds`` and ``telling_seconds`` are the processor time that reading and
@@ -68,13 +68,17 @@
     """
 
     def __init__(
-        self, network: NewsNetwork, name: str, domain: str, seeds: Sequence[str] = ()
+        self,
+        network: SimulatedNetwork,
+        name: str,
+        domain: str,
+        seeds: Sequence[str] = (),
     ):
         self.name = name
         self.domain = domain
         self.address = f"{name}:7000"
         self.network = network
-        self.readings: list[EndpointReading] = []
+        self.snapshots: list[EndpointSnapshot] = []
         self.newcomers: list[str] = []
         self.leaving = False
         self.hearing_seconds = 0.0
@@ -88,11 +92,11 @@
             seeds=seeds,
             bounds=SimpleNamespace(contact_seconds=3.0),
         )
-        self.news = FleetNews(settings, self, EventLog())
-        self.news.link = self
+        self.peer_updates = PeerUpdates(settings, self, EventLog())
+        self.peer_updates.link = self
         # The same on every run, whatever the time of day.
-        self.news._rng.seed(name)
-        self.news._incarnation = next(_incarnations)
+        self.peer_updates._rng.seed(name)
+        self.peer_updates._incarnation = next(_incarnations)
         network.daemons_by_address[self.address] = self
 
     # What the news ask of a link
@@ -117,27 +121,27 @@
         """Take a datagram."""
         started = time.thread_time()
         now = asyncio.get_running_loop().time()
-        self.news._receive(decode_message(data, now), source)
+        self.peer_updates._receive(decode_message(data, now), source)
         self.hearing_seconds += time.thread_time() - started
 
     # What the news ask of whom they serve
 
-    def standing(self, now: float) -> Standing:
+    def daemon_status(self, now: float) -> DaemonStatus:
         """Return what this daemon tells of itself."""
-        return Standing(self.leaving, 1, 1, 0.0)
+        return DaemonStatus(self.leaving, 1, 1, 0.0)
 
-    def heartbeat_heard(self, heartbeat: Heartbeat, heard_at: float) -> None:
+    def heartbeat_received(self, heartbeat: Heartbeat, received_at: float) -> None:
         """Do nothing: the news keep what was heard."""
 
-    def endpoints_heard(self, reading: EndpointReading) -> None:
+    def endpoints_received(self, snapshot: EndpointSnapshot) -> None:
         """Keep a reading."""
-        self.readings.append(reading)
+        self.snapshots.append(snapshot)
 
-    def newcomer_met(self, peer_address: str) -> None:
+    def peer_joined(self, peer_address: str) -> None:
         """Keep whom this daemon would tell the endpoints."""
         self.newcomers.append(peer_address)
 
-    def answer(self, wanted: Wanted) -> Message | None:
+    def answer(self, request: SnapshotRequest) -> Message | None:
         """Return nothing: this daemon knows neither endpoints nor configuration."""
         return None
 
@@ -147,9 +151,9 @@
 
     # What scenes do and ask
 
-    def knows_job_of(self, other: "NewsDaemon") -> bool:
+    def knows_job_of(self, other: "SimulatedDaemon") -> bool:
         """Whether the job that another took is counted here, once."""
-        return len(self.news.load.at(f"e-{other.name}")) == 1
+        return len(self.peer_updates.load.at(f"e-{other.name}")) == 1
 
     def take_job(self) -> None:
         """Place a request on an endpoint that no other daemon uses."""
@@ -158,10 +162,10 @@
 
     def put(self, request_id: str, jobs: Sequence[Job]) -> None:
         """Place a request and tell of it."""
-        self.news.load.put(request_id, jobs)
-        self.news.job_added()
+        self.peer_updates.load.put(request_id, jobs)
+        self.peer_updates.job_added()
 
     def drop(self, request_id: str) -> None:
         """End a request and tell of it."""
-        self.news.load.drop(request_id)
-        self.news.job_ended()
+        self.peer_updates.load.drop(request_id)
+        self.peer_updates.job_ended()
--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -190,7 +190,7 @@
             version=self._mark.version,
             digest=self._mark.digest,
             members=tuple(self._membership.updates_for(daemon_id, NEWS_IN_PING)),
-            leaving=self._leaving_news(),
+            leaving=self._leaving_updates(),
         )
 
     def _send(self, daemon_id: str, body: Ping | PingRequest) -> None:
@@ -258,7 +258,7 @@
             self._membership.raise_incarnation(hello.newest_known)
             self._log.warning("incarnation_raised", by=envelope.sender)
             return
-        if self._membership.take_news(hello.member, now):
+        if self._membership.apply_update(hello.member, now):
             # It may not know us yet; our record goes back once, now verified.
             self._send_hello(
                 hello.member.peer_address, envelope.sender, envelope.incarnation
@@ -276,7 +276,7 @@
     def _take_ping(self, envelope: Envelope, ping: Ping, now: float) -> None:
         revision = self._membership.myself.revision
         for member in ping.members:
-            self._membership.take_news(member, now)
+            self._membership.apply_update(member, now)
         is_refuting = self._membership.myself.revision != revision
         fresh = [leaving for leaving in ping.leaving if self._mark_leaving(leaving)]
         if isinstance(ping, Ack):
@@ -314,16 +314,16 @@
         self._events.endpoint_leaving(leaving)
         return True
 
-    def _leaving_news(self) -> tuple[LeavingEndpoint, ...]:
-        news = []
+    def _leaving_updates(self) -> tuple[LeavingEndpoint, ...]:
+        updates = []
         for endpoint_id in list(self._leaving_repeats_by_id)[:LEAVING_IN_PING]:
-            news.append(
+            updates.append(
                 LeavingEndpoint(endpoint_id, self._leaving_by_id.get(endpoint_id, 0))
             )
             self._leaving_repeats_by_id[endpoint_id] -= 1
             if self._leaving_repeats_by_id[endpoint_id] <= 0:
                 del self._leaving_repeats_by_id[endpoint_id]
-        return tuple(news)
+        return tuple(updates)
 
     def merge_members(self, members: tuple[Member, ...]) -> None:
         """Take the whole list of a peer."""
--- a/cranberrywick/decisions/membership.py
+++ b/cranberrywick/decisions/membership.py
@@ -78,7 +78,7 @@
     """The members as this daemon sees them.
 
     >>> membership = Membership(myself, random.Random(1), now=0.0)
-    >>> membership.take_news(other, now=0.0)
+    >>> membership.apply_update(other, now=0.0)
     True
     >>> membership.tick(now=1.0)
     [Probe(round=1, daemon_id='e2')]
@@ -193,49 +193,49 @@
         """Settle the probe of this round."""
         self._probes.answered(round, daemon_id)
 
-    def take_news(self, news: Member, now: float) -> bool:
+    def apply_update(self, update: Member, now: float) -> bool:
         """Take a word about a member and say whether it was newer than known."""
-        if news.daemon_id == self._self_id:
-            return self._refute(news)
-        known = self._members_by_id.get(news.daemon_id)
-        if known is None and news.status is Status.DEAD:
+        if update.daemon_id == self._self_id:
+            return self._refute(update)
+        known = self._members_by_id.get(update.daemon_id)
+        if known is None and update.status is Status.DEAD:
             return False
-        news = self._doubt(news, known, now)
-        if known is not None and news.age_rank <= known.age_rank:
+        update = self._doubt(update, known, now)
+        if known is not None and update.age_rank <= known.age_rank:
             return False
-        self._suspected_by_id.pop(news.daemon_id, None)
-        self._dead_by_id.pop(news.daemon_id, None)
-        if news.status is Status.SUSPECT:
-            self._suspected_by_id[news.daemon_id] = now
-            self._ask_urgently(news.daemon_id)
-        self._store(news)
+        self._suspected_by_id.pop(update.daemon_id, None)
+        self._dead_by_id.pop(update.daemon_id, None)
+        if update.status is Status.SUSPECT:
+            self._suspected_by_id[update.daemon_id] = now
+            self._ask_urgently(update.daemon_id)
+        self._store(update)
         return True
 
-    def _doubt(self, news: Member, known: Member | None, now: float) -> Member:
+    def _doubt(self, update: Member, known: Member | None, now: float) -> Member:
         # When a partition heals, each side hears from the other that its own
         # members are dead. Believed at once, that empties the fleet until every
         # one has refuted, and all stewards move twice. So another's word of death
         # only starts a suspicion here: a dead member can't refute it, a live one
         # is asked and does.
-        if news.status is not Status.DEAD or known.status is Status.DEAD:
-            return news
-        if news.age_rank > known.age_rank:
-            self._suspected_by_id.setdefault(news.daemon_id, now)
-        return news._replace(status=Status.SUSPECT)
+        if update.status is not Status.DEAD or known.status is Status.DEAD:
+            return update
+        if update.age_rank > known.age_rank:
+            self._suspected_by_id.setdefault(update.daemon_id, now)
+        return update._replace(status=Status.SUSPECT)
 
     def _ask_urgently(self, daemon_id: str) -> None:
         if self._rng.random() * len(self._members_by_id) < ASKERS_OF_SUSPECT:
             self._urgent.append(daemon_id)
 
-    def _refute(self, news: Member) -> bool:
+    def _refute(self, update: Member) -> bool:
         # News of this daemon's own death, by peers that could not reach it for a
         # while: without a word that outranks it, it stays out for good.
         myself = self.myself
-        if news.age_rank <= myself.age_rank:
+        if update.age_rank <= myself.age_rank:
             return False
-        self.raise_incarnation(news.incarnation)
-        if news.incarnation == myself.incarnation:
-            self._store(myself._replace(revision=news.revision + 1))
+        self.raise_incarnation(update.incarnation)
+        if update.incarnation == myself.incarnation:
+            self._store(myself._replace(revision=update.revision + 1))
         return True
 
     def raise_incarnation(self, newest_known: int) -> None:
@@ -269,16 +269,16 @@
         What is thought ill of the member itself comes before all, so that it can
         refute.
         """
-        news = []
+        updates = []
         about_it = self._members_by_id.get(daemon_id)
         if about_it is not None and about_it.status in (Status.SUSPECT, Status.DEAD):
-            news.append(about_it)
+            updates.append(about_it)
         untold = sorted(self._repeats_by_id.items(), key=lambda item: -item[1])
-        for other_id, left in untold[: max(0, limit - len(news))]:
+        for other_id, left in untold[: max(0, limit - len(updates))]:
             if other_id != daemon_id:
-                news.append(self._members_by_id[other_id])
+                updates.append(self._members_by_id[other_id])
             self._spend_repeat(other_id, left)
-        return news
+        return updates
 
     def _spend_repeat(self, daemon_id: str, left: int) -> None:
         if left <= 1:
@@ -293,6 +293,6 @@
         A joining daemon would otherwise repeat every member's record twenty times.
         """
         for member in members:
-            is_new = self.take_news(member, now)
+            is_new = self.apply_update(member, now)
             if is_new and member.daemon_id != self._self_id:
                 self._repeats_by_id.pop(member.daemon_id, None)
--- a/cranberrywick/gateway/app.py
+++ b/cranberrywick/gateway/app.py
@@ -7,7 +7,7 @@
 
 from cranberrywick.gateway.forwarder import Forwarder
 from cranberrywick.gateway.ingress import CallerConnection, HttpRequest, Ingress
-from cranberrywick.gateway.late_metrics import LateMetrics
+from cranberrywick.gateway.lazy_metrics import LazyMetrics
 from cranberrywick.gateway.state import FleetState
 from cranberrywick.gateway.ticker import Ticker
 from cranberrywick.gateway.waiting import WaitingRequests
@@ -41,21 +41,21 @@
         self._settings = settings
         self._log = log
         self._rng = random.Random()
-        self._metrics = LateMetrics(settings.daemon_id)
+        self._metrics = LazyMetrics(settings.daemon_id)
         self._ticker = Ticker(log)
         store = PlatformStore(settings.store_address)
         self.state = FleetState(
             settings, store, decode_configuration, self._ticker, log
         )
         health = EndpointHealth()
-        news = self.state.news
+        peer_updates = self.state.peer_updates
         placer = Placer(
-            news.load,
+            peer_updates.load,
             health,
-            news.slowdowns,
+            peer_updates.slowdowns,
             self._rng,
-            lambda: news.delay_seconds,
-            news.limits.wait_seconds,
+            lambda: peer_updates.delay_seconds,
+            peer_updates.limits.wait_seconds,
         )
         self._health = health
         self._waiting = WaitingRequests(self.state, placer)
@@ -98,10 +98,10 @@
 
     def _forget_gone(self) -> None:
         """Drop what is known of endpoints that are gone, or it grows for ever."""
-        registered_ids = self.state.registry.beliefs_by_id.keys()
+        registered_ids = self.state.registry.tracked_by_id.keys()
         self._health.keep_only(registered_ids)
         now = asyncio.get_running_loop().time()
-        self.state.news.limits.forget(registered_ids, now)
+        self.state.peer_updates.limits.forget(registered_ids, now)
 
     def _reload(self) -> None:
         """Note a reload: all that changes while a daemon runs lies in the store."""
@@ -122,7 +122,7 @@
         self._log.info("gateway_stopped", busy=self._ingress.busy)
         self._ingress.close()
         self._ticker.stop()
-        self.state.news.link.close()
+        self.state.peer_updates.link.close()
 
     async def _answer_directory(
         self, request: HttpRequest, caller: CallerConnection
--- a/cranberrywick/gateway/attempt.py
+++ b/cranberrywick/gateway/attempt.py
@@ -28,7 +28,7 @@
 from cranberrywick.routing.connect_timeout import ConnectTimeout, is_own_delay
 from cranberrywick.routing.model import EndpointRecord
 from cranberrywick.routing.placement import Placement
-from cranberrywick.routing.registry import EndpointBelief
+from cranberrywick.routing.registry import TrackedEndpoint
 
 __all__ = ["Attempt", "AttemptWatch", "Passed", "WholeAnswer"]
 
@@ -78,7 +78,7 @@
         self,
         exchange: Exchange,
         placement: Placement,
-        beliefs_by_id: Mapping[str, EndpointBelief],
+        tracked_by_id: Mapping[str, TrackedEndpoint],
         may_send: Callable[[str, bool], bool],
         watch: AttemptWatch,
         connect_timeout: ConnectTimeout,
@@ -90,15 +90,15 @@
         self._log = log
         self._exchange = exchange
         self._placement = placement
-        self._beliefs_by_id = beliefs_by_id
+        self._tracked_by_id = tracked_by_id
         self._may_send = may_send
         self._watch = watch
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> Passed:
         """Make the attempt."""
-        belief = self._beliefs_by_id.get(self._placement.endpoint_id)
-        if belief is None:
+        tracked = self._tracked_by_id.get(self._placement.endpoint_id)
+        if tracked is None:
             # Gone between the moment when the place was given and this one.
             raise EndpointRefused(
                 "the endpoint is gone", reason=EndpointRefusal.LEAVING
@@ -107,7 +107,7 @@
         reservations = Reservations(wanted, self._free_seconds, self._log)
         try:
             await reservations.take()
-            return await self._run(belief.record, reservations)
+            return await self._run(tracked.record, reservations)
         finally:
             reservations.release()
 
@@ -115,11 +115,11 @@
         return [
             (
                 part.endpoint_id,
-                self._beliefs_by_id[part.endpoint_id].record.address,
+                self._tracked_by_id[part.endpoint_id].record.address,
                 part.reserved_tokens,
             )
             for part in self._placement.helpers
-            if part.reserved_tokens and part.endpoint_id in self._beliefs_by_id
+            if part.reserved_tokens and part.endpoint_id in self._tracked_by_id
         ]
 
     async def _run(self, record: EndpointRecord, reservations: Reservations) -> Passed:
@@ -190,11 +190,11 @@
         ids_by_endpoint = {r.endpoint_id: r.reservation_id for r in reservations.held}
         return tuple(
             helper_entry(
-                self._beliefs_by_id[part.endpoint_id].record.address,
+                self._tracked_by_id[part.endpoint_id].record.address,
                 ids_by_endpoint.get(part.endpoint_id),
             )
             for part in self._placement.helpers
-            if part.endpoint_id in self._beliefs_by_id
+            if part.endpoint_id in self._tracked_by_id
         )
 
     async def _receive(self, connection: EndpointConnection) -> Passed:
--- a/cranberrywick/gateway/endpoint_reading.py
+++ b/cranberrywick/gateway/endpoint_snapshot.py
@@ -19,27 +19,32 @@
 from cranberrywick.gateway.schema import SCHEMA, pack, unpack
 from cranberrywick.routing.model import EndpointDelta, EndpointRecord, EndpointView
 
-__all__ = ["NO_DELTA", "Applied", "EndpointReading"]
+__all__ = ["NO_DELTA", "Applied", "EndpointSnapshot"]
 
 # Stands for no records at all.
 NO_BASE = 0
 NO_DELTA = EndpointDelta((), ())
 
 
-class EndpointReading(NamedTuple):
+class EndpointSnapshot(NamedTuple):
     """The registered endpoints as they were read ``age`` seconds ago.
 
     ``digest`` identifies their records. ``changes`` lead to these from what the teller
     knew before; without any they are the same as before.
     """
 
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "EndpointReading"
+
     revision: int
     age: float
     digest: int
     changes: bytes = b""
 
     @classmethod
-    def whole(cls, view: EndpointView, digest: int, age: float) -> "EndpointReading":
+    def whole(cls, view: EndpointView, digest: int, age: float) -> "EndpointSnapshot":
         """Return a reading with all records."""
         changes = _pack_changes(NO_BASE, view.records_by_id, ())
         return cls(view.revision, age, digest, changes)
@@ -52,7 +57,7 @@
         age: float,
         delta: EndpointDelta,
         base: int,
-    ) -> "EndpointReading":
+    ) -> "EndpointSnapshot":
         """Return a reading for who knows the view with digest ``base``, or one near it.
 
         ``delta`` holds at least what leads from that view to this one.
--- a/cranberrywick/gateway/endpoint_knowledge.py
+++ b/cranberrywick/gateway/endpoint_tracker.py
@@ -5,12 +5,12 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from cranberrywick.gateway.endpoint_reading import NO_DELTA, Applied, EndpointReading
+from cranberrywick.gateway.endpoint_snapshot import NO_DELTA, Applied, EndpointSnapshot
 from cranberrywick.logs import EventLog, id_lists
 from cranberrywick.routing.model import EndpointDelta, EndpointView
 from cranberrywick.routing.registry import EndpointChange, EndpointRegistry
 
-__all__ = ["EndpointKnowledge", "PeerReading", "StoreReading"]
+__all__ = ["EndpointTracker", "PeerSnapshotOutcome", "StoreSnapshotOutcome"]
 
 # Records of so many endpoints fit in a datagram with room to spare.
 MOST_TOLD_ENDPOINTS = 500
@@ -22,7 +22,7 @@
 MOST_RETOLD_ENDPOINTS = 450
 
 
-class PeerReading(Enum):
+class PeerSnapshotOutcome(Enum):
     """What a peer's reading says to who takes it; MISSED: one before it is lacking."""
 
     OLD = auto()
@@ -31,7 +31,7 @@
     MISSED = auto()
 
 
-class StoreReading(NamedTuple):
+class StoreSnapshotOutcome(NamedTuple):
     """Whether a reading of the store changed anything, and what is told of it.
 
     Nothing is told of a first reading, for at a start of the whole fleet each daemon
@@ -39,10 +39,10 @@
     """
 
     changed: bool
-    reading: EndpointReading | None
+    snapshot: EndpointSnapshot | None
 
 
-class EndpointKnowledge:
+class EndpointTracker:
     """Takes readings of the endpoints, from store or peers, and logs changes."""
 
     def __init__(self, log: EventLog):
@@ -51,11 +51,13 @@
         self._view: EndpointView | None = None
         self._digest = 0
         # Packed once for all who ask for it.
-        self._whole: EndpointReading | None = None
+        self._whole: EndpointSnapshot | None = None
         self._changed_at_by_id: dict[str, float] = {}
         self._unusable_ids: frozenset[str] = frozenset()
 
-    def take(self, view: EndpointView, read_at: float, now: float) -> StoreReading:
+    def apply_store_snapshot(
+        self, view: EndpointView, read_at: float, now: float
+    ) -> StoreSnapshotOutcome:
         """Take a reading of the store and return what the others are told of it."""
         base_view, base = self._view, self._digest
         known = base_view or EndpointView(0, {})
@@ -63,15 +65,15 @@
         digest = known.digest_with_delta(delta, base)
         changed = self._take(Applied(view, delta), digest, read_at, now)
         if base_view is None:
-            return StoreReading(changed, None)
+            return StoreSnapshotOutcome(changed, None)
         if self._digest == base:
             # Only cold times, which the others count down themselves.
             delta = NO_DELTA
-        return StoreReading(changed, self._told_difference(delta, base, now))
+        return StoreSnapshotOutcome(changed, self._told_difference(delta, base, now))
 
     def _told_difference(
         self, delta: EndpointDelta, base: int, now: float
-    ) -> EndpointReading | None:
+    ) -> EndpointSnapshot | None:
         """Return what those are told who knew the state ``base`` or one shortly before.
 
         It repeats the changes of the last moments: a datagram may have been lost, and
@@ -82,14 +84,14 @@
         told_ids = {record.endpoint_id for record in delta.changed}
         told_ids.update(delta.gone_ids, self._changed_ids(now))
         if not told_ids:
-            return EndpointReading(self.registry.revision, age, self._digest)
+            return EndpointSnapshot(self.registry.revision, age, self._digest)
         if len(told_ids) > MOST_TOLD_ENDPOINTS:
             return None
         told = EndpointDelta(
             tuple(records_by_id[i] for i in told_ids if i in records_by_id),
             tuple(i for i in told_ids if i not in records_by_id),
         )
-        return EndpointReading.difference(self._view, self._digest, age, told, base)
+        return EndpointSnapshot.difference(self._view, self._digest, age, told, base)
 
     def _changed_ids(self, now: float) -> list[str]:
         """Return endpoints that have changed lately, the latest of many."""
@@ -102,40 +104,42 @@
                 break
             del self._changed_at_by_id[endpoint_id]
 
-    def take_news(self, reading: EndpointReading, now: float) -> PeerReading:
+    def apply_peer_snapshot(
+        self, snapshot: EndpointSnapshot, now: float
+    ) -> PeerSnapshotOutcome:
         """Take a peer's reading.
 
         Raises `PeerMessageInvalid` for changes that can't be read.
         """
-        read_at = now - reading.age
+        read_at = now - snapshot.age
         if read_at <= self.registry.read_at:
-            return PeerReading.OLD
-        applied = reading.applied_to(self._view, self._digest)
+            return PeerSnapshotOutcome.OLD
+        applied = snapshot.applied_to(self._view, self._digest)
         if applied is None:
-            return PeerReading.MISSED
-        if self._take(applied, reading.digest, read_at, now):
-            return PeerReading.CHANGED
-        return PeerReading.SAME
+            return PeerSnapshotOutcome.MISSED
+        if self._take(applied, snapshot.digest, read_at, now):
+            return PeerSnapshotOutcome.CHANGED
+        return PeerSnapshotOutcome.SAME
 
-    def whole_reading(self, now: float) -> EndpointReading | None:
+    def full_snapshot(self, now: float) -> EndpointSnapshot | None:
         """Return all that is known; None if nothing is."""
         if self._view is None:
             return None
         if self._whole is None or self._whole.digest != self._digest:
-            self._whole = EndpointReading.whole(self._view, self._digest, 0.0)
+            self._whole = EndpointSnapshot.whole(self._view, self._digest, 0.0)
         revision, age = self.registry.revision, self.registry.age(now)
         return self._whole._replace(revision=revision, age=age)
 
-    def told_reading(self, now: float) -> EndpointReading | None:
+    def initial_snapshot(self, now: float) -> EndpointSnapshot | None:
         """Return what a peer is told that may know nothing; None if nothing is known.
 
         That is all that is known, unless it is too much for a datagram: then the peer
         learns that there is something to ask for.
         """
         if self._view is None or len(self._view.records_by_id) <= MOST_TOLD_ENDPOINTS:
-            return self.whole_reading(now)
+            return self.full_snapshot(now)
         age = self.registry.age(now)
-        return EndpointReading(self.registry.revision, age, self._digest)
+        return EndpointSnapshot(self.registry.revision, age, self._digest)
 
     def _take(self, applied: Applied, digest: int, read_at: float, now: float) -> bool:
         view, delta = applied
--- a/cranberrywick/gateway/fleet_link.py
+++ b/cranberrywick/gateway/fleet_link.py
@@ -9,19 +9,19 @@
 from collections.abc import Callable, Iterable
 
 from cranberrywick.errors import PeerMessageInvalid
-from cranberrywick.gateway.endpoint_reading import EndpointReading
-from cranberrywick.gateway.heartbeat_rows import RelayNews
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
+from cranberrywick.gateway.heartbeat_rows import HeartbeatBatch
 from cranberrywick.gateway.messages import (
     Envelope,
     Message,
-    OperatorReading,
+    OperatorSnapshot,
     Scope,
-    Wanted,
+    SnapshotRequest,
     decode_message,
     encode_message,
 )
-from cranberrywick.gateway.rare_log import RareLog
 from cranberrywick.gateway.schema import MAX_MESSAGE_BYTES
+from cranberrywick.gateway.throttled_log import ThrottledLog
 from cranberrywick.logs import EventLog
 
 __all__ = ["FleetLink", "Send"]
@@ -50,7 +50,7 @@
     def __init__(
         self,
         receive: Callable[[Envelope, str], None],
-        answer: Callable[[Wanted], Message | None],
+        answer: Callable[[SnapshotRequest], Message | None],
         log: EventLog,
     ):
         self._receive = receive
@@ -59,8 +59,8 @@
         self._loop = asyncio.get_running_loop()
         self._udp: asyncio.DatagramTransport | None = None
         self._tcp: asyncio.Server | None = None
-        self._invalid = RareLog(log, self._loop.time)
-        self._too_long = RareLog(log, self._loop.time)
+        self._invalid = ThrottledLog(log, self._loop.time)
+        self._too_long = ThrottledLog(log, self._loop.time)
         self._served = 0
 
     async def start(self, ip: str, port: int) -> None:
@@ -97,10 +97,10 @@
         data = encode_message(message, self._loop.time(), scope)
         if len(data) <= MAX_DATAGRAM_BYTES:
             return [data]
-        halves = message.halves if isinstance(message, RelayNews) else ()
+        halves = message.halves if isinstance(message, HeartbeatBatch) else ()
         if not halves:
             # The peers' knowledge gets old by it, and each reads for itself.
-            kind = type(message).__name__
+            kind = message.log_kind
             self._too_long.warning("peer_message_too_long", kind=kind, bytes=len(data))
         return [data for half in halves for data in self._datagrams(half, scope)]
 
@@ -119,12 +119,12 @@
         self._invalid.warning("peer_message_invalid", error=error)
 
     async def fetch(
-        self, address: str, wanted: Wanted
-    ) -> EndpointReading | OperatorReading | None:
+        self, address: str, request: SnapshotRequest
+    ) -> EndpointSnapshot | OperatorSnapshot | None:
         """Ask a peer for what it knows; None without an answer."""
         try:
             async with asyncio.timeout(FETCH_SECONDS):
-                return await self._fetch(address, wanted)
+                return await self._fetch(address, request)
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             self._log.warning("peer_fetch_failed", peer=address, error=error)
         except PeerMessageInvalid as error:
@@ -132,14 +132,14 @@
         return None
 
     async def _fetch(
-        self, address: str, wanted: Wanted
-    ) -> EndpointReading | OperatorReading | None:
+        self, address: str, request: SnapshotRequest
+    ) -> EndpointSnapshot | OperatorSnapshot | None:
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
-            _write(writer, encode_message(wanted, self._loop.time()))
+            _write(writer, encode_message(request, self._loop.time()))
             message = decode_message(await _read(reader), self._loop.time()).message
-            is_answer = isinstance(message, EndpointReading | OperatorReading)
+            is_answer = isinstance(message, EndpointSnapshot | OperatorSnapshot)
             return message if is_answer else None
         finally:
             writer.transport.abort()
@@ -155,11 +155,11 @@
             async with asyncio.timeout(FETCH_SECONDS):
                 data = await _read(reader)
                 message = decode_message(data, self._loop.time()).message
-                reading = None
-                if isinstance(message, Wanted):
-                    reading = self._answer(message)
-                if reading is not None:
-                    _write(writer, encode_message(reading, self._loop.time()))
+                snapshot = None
+                if isinstance(message, SnapshotRequest):
+                    snapshot = self._answer(message)
+                if snapshot is not None:
+                    _write(writer, encode_message(snapshot, self._loop.time()))
                     await writer.drain()
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             self._log.debug("peer_request_broken", error=error)
--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -22,9 +22,9 @@
 from cranberrywick.gateway.attempt import Attempt, AttemptWatch, Passed
 from cranberrywick.gateway.exchange import Exchange
 from cranberrywick.gateway.ingress import CallerConnection, HttpRequest
-from cranberrywick.gateway.late_metrics import LateMetrics
+from cranberrywick.gateway.lazy_metrics import LazyMetrics
 from cranberrywick.gateway.observations import EndpointObservations
-from cranberrywick.gateway.permitted_places import PermittedPlaces
+from cranberrywick.gateway.permitted_placements import PermittedPlacements
 from cranberrywick.gateway.state import FleetState
 from cranberrywick.gateway.waiting import WaitingRequests
 from cranberrywick.logs import EventLog
@@ -59,13 +59,13 @@
         state: FleetState,
         waiting: WaitingRequests,
         health: EndpointHealth,
-        metrics: LateMetrics,
+        metrics: LazyMetrics,
         log: EventLog,
     ):
         self._settings = settings
         self._state = state
         self._waiting = waiting
-        self._places = PermittedPlaces(
+        self._placements = PermittedPlacements(
             settings.failure_domain, state, waiting, metrics, log
         )
         self._health = health
@@ -104,7 +104,7 @@
             raise
         finally:
             self._state.load.drop(exchange.key)
-            self._state.news.job_ended()
+            self._state.peer_updates.job_ended()
             self._waiting.look()
             self._note_end(exchange, outcome)
 
@@ -138,7 +138,7 @@
     async def _serve(self, exchange: Exchange) -> None:
         """Try endpoints until one has answered."""
         while True:
-            placement = await self._places.take(exchange)
+            placement = await self._placements.take(exchange)
             try:
                 passed = await self._attempt(exchange, placement)
             except CranberrywickError as error:
@@ -149,11 +149,11 @@
             return
 
     async def _attempt(self, exchange: Exchange, placement: Placement) -> Passed:
-        beliefs = self._state.registry.beliefs_by_id
+        tracked_endpoints = self._state.registry.tracked_by_id
         attempt = Attempt(
             exchange,
             placement,
-            beliefs,
+            tracked_endpoints,
             self._state.may_send,
             self._watch(exchange),
             self._connect_timeout,
@@ -179,7 +179,7 @@
             if job.held_tokens
         ]
         self._state.load.put(exchange.key, jobs)
-        self._state.news.job_ended()
+        self._state.peer_updates.job_ended()
         self._waiting.look()
 
     def _answered(
@@ -233,10 +233,10 @@
         be sent to, with seconds of its time left.
         """
         address = error.at_fault if isinstance(error, EndpointRefused) else None
-        beliefs_by_id = self._state.registry.beliefs_by_id
+        tracked_by_id = self._state.registry.tracked_by_id
         for part in placement.helpers:
-            belief = beliefs_by_id.get(part.endpoint_id)
-            if belief is not None and belief.record.address == address:
+            tracked = tracked_by_id.get(part.endpoint_id)
+            if tracked is not None and tracked.record.address == address:
                 return part.endpoint_id
         return placement.endpoint_id
 
@@ -252,7 +252,7 @@
         if exchange.answering_ids is not None and not exchange.answering_ids:
             return "no further endpoint is allowed"
         if _reached(error) and not self._budget.take(
-            exchange.service.name, self._state.news.most_members, now
+            exchange.service.name, self._state.peer_updates.most_members, now
         ):
             return "the retry budget is spent"
         return ""
--- a/cranberrywick/gateway/heartbeat_rows.py
+++ b/cranberrywick/gateway/heartbeat_rows.py
@@ -19,7 +19,13 @@
 from cranberrywick.routing.members import Heartbeat
 from cranberrywick.routing.slowdown import EngineSlowdown
 
-__all__ = ["PassedOn", "RelayNews", "milliseconds", "pack_news", "unpack_news"]
+__all__ = [
+    "HeartbeatBatch",
+    "RelayedHeartbeat",
+    "milliseconds",
+    "pack_heartbeats",
+    "unpack_heartbeats",
+]
 
 # An age that never was counts as the longest.
 LONGEST_MS = 2**31 - 1
@@ -29,22 +35,27 @@
 _Count = Annotated[int, Meta(ge=0)]
 
 
-class PassedOn(NamedTuple):
+class RelayedHeartbeat(NamedTuple):
     """A heartbeat, and when it was heard first."""
 
-    heard_at: float
+    received_at: float
     heartbeat: Heartbeat
 
 
-class RelayNews(NamedTuple):
+class HeartbeatBatch(NamedTuple):
     """Heartbeats, and the relay that sends them on; both empty from their daemon."""
 
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "RelayNews"
+
     relay_id: str
     relay_domain: str
-    heartbeats: tuple[PassedOn, ...]
+    heartbeats: tuple[RelayedHeartbeat, ...]
 
     @property
-    def halves(self) -> tuple["RelayNews", ...]:
+    def halves(self) -> tuple["HeartbeatBatch", ...]:
         """Two that together say the same; none where there is nothing to divide."""
         middle = len(self.heartbeats) // 2
         if not middle:
@@ -91,14 +102,14 @@
     limits: tuple[_LimitRow, ...] = ()
 
 
-class _NewsRow(NamedTuple):
+class _BatchRow(NamedTuple):
     relay_id: str
     relay_domain: str
     heartbeats: tuple[_HeartbeatRow, ...]
 
 
 _ENCODER = Encoder()
-_DECODER = Decoder(_NewsRow)
+_DECODER = Decoder(_BatchRow)
 
 
 def milliseconds(seconds: float) -> int:
@@ -110,26 +121,26 @@
     return int(max(-LONGEST_MS, min(seconds * 1000, LONGEST_MS)))
 
 
-def pack_news(news: RelayNews, now: float) -> bytes:
+def pack_heartbeats(batch: HeartbeatBatch, now: float) -> bytes:
     """Return the bytes of heartbeats; ``now`` is the clock of their moments."""
-    rows = tuple(_heartbeat_row(each, now) for each in news.heartbeats)
-    return _ENCODER.encode(_NewsRow(news.relay_id, news.relay_domain, rows))
+    rows = tuple(_heartbeat_row(each, now) for each in batch.heartbeats)
+    return _ENCODER.encode(_BatchRow(batch.relay_id, batch.relay_domain, rows))
 
 
-def unpack_news(data: bytes, now: float) -> RelayNews:
+def unpack_heartbeats(data: bytes, now: float) -> HeartbeatBatch:
     """Return the heartbeats in these bytes.
 
     Raises ValueError where they are not rows of these types and bounds.
     """
     relay_id, relay_domain, rows = _DECODER.decode(data)
     heartbeats = tuple(_passed_on(row, now) for row in rows)
-    return RelayNews(relay_id, relay_domain, heartbeats)
+    return HeartbeatBatch(relay_id, relay_domain, heartbeats)
 
 
-def _heartbeat_row(news: PassedOn, now: float) -> _HeartbeatRow:
-    beat = news.heartbeat
+def _heartbeat_row(relayed: RelayedHeartbeat, now: float) -> _HeartbeatRow:
+    beat = relayed.heartbeat
     return _HeartbeatRow(
-        milliseconds(now - news.heard_at),
+        milliseconds(now - relayed.received_at),
         beat.daemon_id,
         beat.incarnation,
         beat.sequence,
@@ -165,7 +176,7 @@
     )
 
 
-def _passed_on(row: _HeartbeatRow, now: float) -> PassedOn:
+def _passed_on(row: _HeartbeatRow, now: float) -> RelayedHeartbeat:
     age_ms, *facts, operator_age_ms, jobs, slow_engines, limits = row
     heartbeat = Heartbeat(
         *facts,
@@ -174,7 +185,7 @@
         slow_engines,
         _limits(limits, now),
     )
-    return PassedOn(now - age_ms / 1000, heartbeat)
+    return RelayedHeartbeat(now - age_ms / 1000, heartbeat)
 
 
 def _jobs(rows: Sequence[_JobRow], now: float) -> tuple[Job, ...]:
--- a/cranberrywick/gateway/late_metrics.py
+++ b/cranberrywick/gateway/lazy_metrics.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from cranberrywick.metrics import Metrics
 
-__all__ = ["LateMetrics", "Rendered"]
+__all__ = ["LazyMetrics", "Rendered"]
 
 # Notes that wait; with so many the library is loaded though nobody reads. Some hundred
 # bytes each.
@@ -27,10 +27,10 @@
     content_type: str
 
 
-class LateMetrics:
+class LazyMetrics:
     """Takes what `Metrics` takes, on the event loop, and passes it on later.
 
-    >>> metrics = LateMetrics("e1")
+    >>> metrics = LazyMetrics("e1")
     >>> metrics.queue_wait("grants", 0.02)
     >>> (await metrics.render()).body.startswith(b"# HELP")
     True
--- a/cranberrywick/gateway/messages.py
+++ b/cranberrywick/gateway/messages.py
@@ -10,13 +10,13 @@
 import capnp
 
 from cranberrywick.errors import PeerMessageInvalid
-from cranberrywick.gateway.endpoint_reading import EndpointReading
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
 from cranberrywick.gateway.heartbeat_rows import (
-    PassedOn,
-    RelayNews,
+    HeartbeatBatch,
+    RelayedHeartbeat,
     milliseconds,
-    pack_news,
-    unpack_news,
+    pack_heartbeats,
+    unpack_heartbeats,
 )
 from cranberrywick.gateway.schema import MAX_MESSAGE_BYTES, SCHEMA, pack, unpack
 from cranberrywick.routing.endpoint_limits import LimitReport
@@ -25,33 +25,48 @@
 from cranberrywick.routing.model import OperatorView
 
 __all__ = [
-    "EndpointsWanted",
+    "EndpointSnapshotRequest",
     "Envelope",
     "Message",
-    "OperatorReading",
-    "OperatorWanted",
+    "OperatorSnapshot",
+    "OperatorSnapshotRequest",
     "PermitRequest",
     "PermitResponse",
     "Scope",
-    "Wanted",
+    "SnapshotRequest",
     "decode_message",
     "encode_message",
 ]
 
 
-class OperatorReading(NamedTuple):
+class OperatorSnapshot(NamedTuple):
     """What operators have written, known to be the newest ``age`` seconds ago."""
 
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "OperatorReading"
+
     view: OperatorView
     age: float
 
 
-class OperatorWanted(NamedTuple):
-    """Asks a peer for its `OperatorReading`."""
+class OperatorSnapshotRequest(NamedTuple):
+    """Asks a peer for its `OperatorSnapshot`."""
+
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "OperatorWanted"
+
 
+class EndpointSnapshotRequest(NamedTuple):
+    """Asks a peer for an `EndpointSnapshot` with all records."""
 
-class EndpointsWanted(NamedTuple):
-    """Asks a peer for an `EndpointReading` with all records."""
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "EndpointsWanted"
 
 
 class PermitRequest(NamedTuple):
@@ -61,6 +76,11 @@
     told the asking daemon, which may be newer than what the steward knows.
     """
 
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "PermitRequest"
+
     number: int
     terms: PermitTerms
     limit: LimitReport
@@ -69,6 +89,11 @@
 class PermitResponse(NamedTuple):
     """A steward's response to the request of this number."""
 
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "PermitResponse"
+
     number: int
     permit: Permit
 
@@ -81,13 +106,13 @@
     FLEET = "fleet"
 
 
-Wanted = OperatorWanted | EndpointsWanted
+SnapshotRequest = OperatorSnapshotRequest | EndpointSnapshotRequest
 Message = (
     Heartbeat
-    | EndpointReading
-    | OperatorReading
-    | Wanted
-    | RelayNews
+    | EndpointSnapshot
+    | OperatorSnapshot
+    | SnapshotRequest
+    | HeartbeatBatch
     | PermitRequest
     | PermitResponse
 )
@@ -103,19 +128,19 @@
 def encode_message(message: Message, now: float, scope: Scope = Scope.NOBODY) -> bytes:
     """Return the bytes of a message; ``now`` is the clock of its moments."""
     if isinstance(message, Heartbeat):
-        news = RelayNews("", "", (PassedOn(now, message),))
-        body = {"heartbeats": pack_news(news, now)}
-    elif isinstance(message, EndpointReading):
+        batch = HeartbeatBatch("", "", (RelayedHeartbeat(now, message),))
+        body = {"heartbeats": pack_heartbeats(batch, now)}
+    elif isinstance(message, EndpointSnapshot):
         body = {"endpoints": _write_endpoints(message)}
-    elif isinstance(message, OperatorReading):
+    elif isinstance(message, OperatorSnapshot):
         body = {"operator": _write_operator(message)}
-    elif isinstance(message, RelayNews):
-        body = {"batch": pack_news(message, now)}
+    elif isinstance(message, HeartbeatBatch):
+        body = {"batch": pack_heartbeats(message, now)}
     elif isinstance(message, PermitRequest):
         body = {"permitRequest": _write_permit_request(message, now)}
     elif isinstance(message, PermitResponse):
         body = {"permitResponse": _write_permit_response(message)}
-    elif isinstance(message, EndpointsWanted):
+    elif isinstance(message, EndpointSnapshotRequest):
         body = {"endpointsWanted": None}
     else:
         body = {"operatorWanted": None}
@@ -144,50 +169,57 @@
 def _read_body(message: Any, now: float) -> Message:
     which = message.which()
     if which == "heartbeats":
-        (news,) = unpack_news(message.heartbeats, now).heartbeats
-        return news.heartbeat
+        (relayed,) = unpack_heartbeats(message.heartbeats, now).heartbeats
+        return relayed.heartbeat
     if which == "endpoints":
         return _read_endpoints(message.endpoints)
     if which == "operator":
         return _read_operator(message.operator)
     if which == "batch":
-        return unpack_news(message.batch, now)
+        return unpack_heartbeats(message.batch, now)
     if which == "permitRequest":
         return _read_permit_request(message.permitRequest, now)
     if which == "permitResponse":
         return _read_permit_response(message.permitResponse)
-    return EndpointsWanted() if which == "endpointsWanted" else OperatorWanted()
+    return (
+        EndpointSnapshotRequest()
+        if which == "endpointsWanted"
+        else OperatorSnapshotRequest()
+    )
 
 
-def _write_endpoints(reading: EndpointReading) -> dict[str, Any]:
+def _write_endpoints(snapshot: EndpointSnapshot) -> dict[str, Any]:
     return {
-        "revision": reading.revision,
-        "ageMs": milliseconds(reading.age),
-        "digest": reading.digest,
-        "changes": reading.changes,
+        "revision": snapshot.revision,
+        "ageMs": milliseconds(snapshot.age),
+        "digest": snapshot.digest,
+        "changes": snapshot.changes,
     }
 
 
-def _read_endpoints(reading: Any) -> EndpointReading:
-    return EndpointReading(
-        reading.revision, reading.ageMs / 1000, reading.digest, bytes(reading.changes)
+def _read_endpoints(snapshot: Any) -> EndpointSnapshot:
+    return EndpointSnapshot(
+        snapshot.revision,
+        snapshot.ageMs / 1000,
+        snapshot.digest,
+        bytes(snapshot.changes),
     )
 
 
-def _write_operator(reading: OperatorReading) -> dict[str, Any]:
-    view = reading.view
+def _write_operator(snapshot: OperatorSnapshot) -> dict[str, Any]:
+    view = snapshot.view
     return {
         "revision": view.revision,
-        "ageMs": milliseconds(reading.age),
+        "ageMs": milliseconds(snapshot.age),
         "document": view.document,
         "domainsOut": sorted(view.domains_out),
     }
 
 
-def _read_operator(reading: Any) -> OperatorReading:
-    document = bytes(reading.document)
-    view = OperatorView.of(reading.revision, document, frozenset(reading.domainsOut))
-    return OperatorReading(view, reading.ageMs / 1000)
+def _read_operator(snapshot: Any) -> OperatorSnapshot:
+    document = bytes(snapshot.document)
+    view = OperatorView.of(snapshot.revision, document, frozenset(snapshot.domainsOut))
+    return OperatorSnapshot(view, snapshot.ageMs / 1000)
 
 
 def _write_permit_request(request: PermitRequest, now: float) -> dict[str, Any]:
--- a/cranberrywick/gateway/observations.py
+++ b/cranberrywick/gateway/observations.py
@@ -5,7 +5,7 @@
 from math import isfinite
 
 from cranberrywick.gateway.exchange import Exchange
-from cranberrywick.gateway.late_metrics import LateMetrics
+from cranberrywick.gateway.lazy_metrics import LazyMetrics
 from cranberrywick.gateway.state import FleetState
 from cranberrywick.logs import EventLog
 from cranberrywick.platform.headers import ResponseMeta
@@ -17,7 +17,7 @@
 class EndpointObservations:
     """Takes what attempts show, and tells it the other daemons."""
 
-    def __init__(self, state: FleetState, metrics: LateMetrics, log: EventLog):
+    def __init__(self, state: FleetState, metrics: LazyMetrics, log: EventLog):
         self._state = state
         self._metrics = metrics
         self._log = log
@@ -29,13 +29,13 @@
             return
         if isfinite(meta.rate_limit):
             self._metrics.limit_named(exchange.route.name)
-        news = self._state.news
-        change = news.limits.observe(
+        peer_updates = self._state.peer_updates
+        change = peer_updates.limits.observe(
             exchange.endpoint_id, meta.rate_limit, self._loop.time()
         )
         if change is None:
             return
-        news.limit_changed()
+        peer_updates.limit_changed()
         self._log.warning(
             "endpoint_limit_changed",
             **change.log_fields,
@@ -62,10 +62,10 @@
     def _record_slowdown(
         self, exchange: Exchange, endpoint_id: str, slowdown: float
     ) -> None:
-        news = self._state.news
-        if not news.slowdowns.observe(endpoint_id, slowdown, self._loop.time()):
+        peer_updates = self._state.peer_updates
+        if not peer_updates.slowdowns.observe(endpoint_id, slowdown, self._loop.time()):
             return
-        news.slowdown_changed()
+        peer_updates.slowdown_changed()
         self._log.warning(
             "endpoint_pace_changed",
             endpoint=endpoint_id,
--- a/cranberrywick/gateway/operator_knowledge.py
+++ b/cranberrywick/gateway/operator_tracker.py
@@ -7,10 +7,10 @@
 from cranberrywick.routing.model import GatewayConfiguration, OperatorView
 from cranberrywick.routing.table import RouteTable
 
-__all__ = ["OperatorKnowledge"]
+__all__ = ["OperatorTracker"]
 
 
-class OperatorKnowledge:
+class OperatorTracker:
     """The newest operators' view; older ones change nothing.
 
     ``decode`` turns the operators' document into a configuration.
@@ -56,7 +56,7 @@
         self.view = self.view._replace(revision=max(revision, self.view.revision))
         return False
 
-    def take(self, view: OperatorView, read_at: float, source: str) -> bool:
+    def apply(self, view: OperatorView, read_at: float, source: str) -> bool:
         """Take a view that was the newest at ``read_at``; True if it changed anything.
 
         ``source`` is who told, for the log.
--- a/cranberrywick/gateway/peer_fetches.py
+++ b/cranberrywick/gateway/peer_fetches.py
@@ -6,7 +6,7 @@
 
 from cranberrywick.errors import PeerMessageInvalid
 from cranberrywick.gateway.fleet_link import FleetLink
-from cranberrywick.gateway.messages import Message, Wanted
+from cranberrywick.gateway.messages import Message, SnapshotRequest
 from cranberrywick.logs import EventLog
 
 __all__ = ["PeerFetches"]
@@ -20,7 +20,7 @@
 class PeerFetches:
     """Makes one fetch of a kind at a time, from one peer after the other.
 
-    >>> fetches.begin(OperatorWanted(), informed_addresses, take_reading)
+    >>> fetches.begin(OperatorSnapshotRequest(), informed_addresses, take_snapshot)
     """
 
     def __init__(self, link: Callable[[], FleetLink], log: EventLog):
@@ -32,7 +32,7 @@
 
     def begin(
         self,
-        wanted: Wanted,
+        request: SnapshotRequest,
         addresses: Callable[[], Sequence[str]],
         take: Callable[[Message, str, float], None],
     ) -> None:
@@ -42,14 +42,14 @@
         gets the answer, the address that it came from and when it was asked for, which
         is the latest moment of which it certainly tells.
         """
-        if type(wanted) in self._running:
+        if type(request) in self._running:
             return
-        self._running.add(type(wanted))
-        self._loop.create_task(self._run(wanted, addresses, take))
+        self._running.add(type(request))
+        self._loop.create_task(self._run(request, addresses, take))
 
     async def _run(
         self,
-        wanted: Wanted,
+        request: SnapshotRequest,
         addresses: Callable[[], Sequence[str]],
         take: Callable[[Message, str, float], None],
     ) -> None:
@@ -60,31 +60,33 @@
                     return
                 address = self._rng.choice(known)
                 asked_at = self._loop.time()
-                reading = await self._link().fetch(address, wanted)
-                kind = type(wanted).__name__
+                snapshot = await self._link().fetch(address, request)
+                kind = request.log_kind
                 self._log.info(
                     "peer_fetched",
                     kind=kind,
                     peer=address,
                     number=number,
-                    answered=reading is not None,
+                    answered=snapshot is not None,
                 )
-                if reading is not None and self._take(take, reading, address, asked_at):
+                if snapshot is not None and self._take(
+                    take, snapshot, address, asked_at
+                ):
                     return
                 await asyncio.sleep(self._rng.uniform(0, LONGEST_PAUSE_SECONDS))
         finally:
-            self._running.discard(type(wanted))
+            self._running.discard(type(request))
 
     def _take(
         self,
         take: Callable[[Message, str, float], None],
-        reading: Message,
+        snapshot: Message,
         address: str,
         asked_at: float,
     ) -> bool:
         """Hand an answer over; False for one that can't be read."""
         try:
-            take(reading, address, asked_at)
+            take(snapshot, address, asked_at)
         except PeerMessageInvalid as error:
             self._log.warning("peer_answer_invalid", peer=address, error=error)
             return False
--- a/cranberrywick/gateway/fleet_news.py
+++ b/cranberrywick/gateway/peer_updates.py
@@ -9,16 +9,16 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from cranberrywick.gateway.endpoint_reading import EndpointReading
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
 from cranberrywick.gateway.fleet_link import FleetLink
-from cranberrywick.gateway.heartbeat_rows import PassedOn, RelayNews
+from cranberrywick.gateway.heartbeat_rows import HeartbeatBatch, RelayedHeartbeat
 from cranberrywick.gateway.messages import (
     Envelope,
     Message,
     PermitRequest,
     PermitResponse,
     Scope,
-    Wanted,
+    SnapshotRequest,
 )
 from cranberrywick.gateway.permits import EndpointPermits
 from cranberrywick.gateway.recipients import Recipients
@@ -31,23 +31,23 @@
 from cranberrywick.routing.model import GatewaySettings
 from cranberrywick.routing.relays import (
     FLUSH_SECONDS,
-    JOB_NEWS_SECONDS,
+    JOB_UPDATE_SECONDS,
     KEEPALIVE_SECONDS,
-    news_seconds,
+    update_delay_seconds,
 )
 from cranberrywick.routing.slowdown import EngineSlowdowns
 
-__all__ = ["FleetNews", "NewsListener", "Standing"]
+__all__ = ["DaemonStatus", "PeerUpdateListener", "PeerUpdates"]
 
 # How often silence is looked for; a tenth of the shortest time that it takes.
 LOOK_SECONDS = 0.2
 # That one writes or has ended is told later, the more so the more daemons hear it:
 # a place that is thought taken for a moment longer costs less than a datagram to each.
 # With relays it costs one datagram, and waits no longer than the relay collects.
-ENDED_NEWS_SECONDS_PER_MEMBER = 0.004
+ENDED_UPDATE_SECONDS_PER_MEMBER = 0.004
 
 
-class Standing(NamedTuple):
+class DaemonStatus(NamedTuple):
     """What a daemon tells of its own knowledge; see `Heartbeat`."""
 
     leaving: bool
@@ -56,33 +56,33 @@
     operator_age: float
 
 
-class NewsListener(Protocol):
+class PeerUpdateListener(Protocol):
     """Who is told of what peers say."""
 
-    def standing(self, now: float) -> Standing:
+    def daemon_status(self, now: float) -> DaemonStatus:
         """Return what this daemon tells of itself."""
 
-    def heartbeat_heard(self, heartbeat: Heartbeat, heard_at: float) -> None:
+    def heartbeat_received(self, heartbeat: Heartbeat, received_at: float) -> None:
         """Take a heartbeat that is news; its jobs are counted already."""
 
-    def endpoints_heard(self, reading: EndpointReading) -> None:
+    def endpoints_received(self, snapshot: EndpointSnapshot) -> None:
         """Take a reading of the endpoints."""
 
-    def newcomer_met(self, peer_address: str) -> None:
+    def peer_joined(self, peer_address: str) -> None:
         """Tell a daemon that has just started what it needs to serve."""
 
-    def answer(self, wanted: Wanted) -> Message | None:
+    def answer(self, request: SnapshotRequest) -> Message | None:
         """Return what a peer that asks is told; None while nothing is known."""
 
     def declared_rate(self, endpoint_id: str) -> float:
         """Return an endpoint's declared limit in requests a second, or infinity."""
 
 
-class FleetNews:
+class PeerUpdates:
     """Hears and tells; keeps the fleet's members, load, paces and rate limits."""
 
     def __init__(
-        self, settings: GatewaySettings, listener: NewsListener, log: EventLog
+        self, settings: GatewaySettings, listener: PeerUpdateListener, log: EventLog
     ):
         self._settings = settings
         self._listener = listener
@@ -122,14 +122,14 @@
         ticker.every(LOOK_SECONDS, self._look)
         ticker.every(KEEPALIVE_SECONDS, self._relaying.keep_alive)
 
-    def know(self, addresses_by_id: dict[str, str]) -> None:
+    def set_registered_addresses(self, addresses_by_id: dict[str, str]) -> None:
         """Take the daemons that are registered in the store."""
         if addresses_by_id != self._recipients.registered_addresses:
             self._recipients.registered_addresses = addresses_by_id
             self.send_heartbeat()
 
     @property
-    def has_heard_all(self) -> bool:
+    def has_received_all(self) -> bool:
         """Whether all daemons that are registered have been heard."""
         recipients = self._recipients
         return bool(recipients.registered_addresses) and not recipients.strangers()
@@ -141,19 +141,19 @@
 
     def job_added(self) -> None:
         """Tell the others at once what this daemon now has at endpoints."""
-        self._tell_within(JOB_NEWS_SECONDS)
+        self._tell_within(JOB_UPDATE_SECONDS)
 
     def slowdown_changed(self) -> None:
         """Tell the others soon that an engine is found to be slow, or fast again."""
-        self._tell_within(JOB_NEWS_SECONDS)
+        self._tell_within(JOB_UPDATE_SECONDS)
 
     def limit_changed(self) -> None:
         """Tell the others soon that an endpoint has another rate limit."""
-        self._tell_within(JOB_NEWS_SECONDS)
+        self._tell_within(JOB_UPDATE_SECONDS)
 
     def job_ended(self) -> None:
         """Tell the others some time soon."""
-        wait = self._recipients.known_members * ENDED_NEWS_SECONDS_PER_MEMBER
+        wait = self._recipients.known_members * ENDED_UPDATE_SECONDS_PER_MEMBER
         self._tell_within(FLUSH_SECONDS if self._recipients.has_relays else wait)
 
     def send_heartbeat(self) -> None:
@@ -171,7 +171,7 @@
         if relay is not None:
             self.link.send(heartbeat, [relay.peer_address], Scope.FLEET)
             return
-        self._relaying.pass_on(PassedOn(now, heartbeat), Scope.FLEET)
+        self._relaying.pass_on(RelayedHeartbeat(now, heartbeat), Scope.FLEET)
         if heartbeat.leaving:
             self._relaying.flush()
 
@@ -182,7 +182,7 @@
         pause = seconds * self._rng.uniform(0.9, 1.1)
         self._next_heartbeat = self._loop.call_later(pause, self.send_heartbeat)
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every daemon, in a large fleet through the relays."""
         recipients = self._recipients
         if not recipients.has_relays:
@@ -199,10 +199,10 @@
     @property
     def delay_seconds(self) -> float:
         """How old others' jobs are when they are heard of."""
-        return news_seconds(self._recipients.known_members)
+        return update_delay_seconds(self._recipients.known_members)
 
     def _is_leaving(self) -> bool:
-        return self._listener.standing(self._loop.time()).leaving
+        return self._listener.daemon_status(self._loop.time()).leaving
 
     def _send(self, message: Message, addresses: list[str], scope: Scope) -> None:
         self.link.send(message, addresses, scope)
@@ -211,7 +211,7 @@
         self.link.send(message, addresses)
 
     def _heartbeat(self, now: float) -> Heartbeat:
-        standing = self._listener.standing(now)
+        daemon_status = self._listener.daemon_status(now)
         return Heartbeat(
             daemon_id=self._settings.daemon_id,
             incarnation=self._incarnation,
@@ -219,10 +219,10 @@
             peer_address=self.peer_address,
             entry_address=self._settings.entry_address,
             failure_domain=self._settings.failure_domain,
-            leaving=standing.leaving,
-            operator_revision=standing.operator_revision,
-            operator_digest=standing.operator_digest,
-            operator_age=standing.operator_age,
+            leaving=daemon_status.leaving,
+            operator_revision=daemon_status.operator_revision,
+            operator_digest=daemon_status.operator_digest,
+            operator_age=daemon_status.operator_age,
             jobs=self.load.own,
             slow_engines=self.slowdowns.own(now),
             limits=self.limits.reports(now),
@@ -250,15 +250,15 @@
         message, scope = envelope
         if isinstance(message, Heartbeat):
             self._receive_directly(message, scope, now)
-        elif isinstance(message, RelayNews):
+        elif isinstance(message, HeartbeatBatch):
             self._recipients.relays.receive(message.relay_id, message.relay_domain, now)
-            for news in message.heartbeats:
-                if self._take(news.heartbeat, news.heard_at):
-                    self._relaying.pass_on(news, scope)
-        elif isinstance(message, EndpointReading):
+            for relayed in message.heartbeats:
+                if self._take(relayed.heartbeat, relayed.received_at):
+                    self._relaying.pass_on(relayed, scope)
+        elif isinstance(message, EndpointSnapshot):
             if scope is Scope.DOMAIN:
                 self.link.send(message, self._recipients.domain_peers())
-            self._listener.endpoints_heard(message)
+            self._listener.endpoints_received(message)
         elif isinstance(message, PermitRequest):
             self.permits.answer(message, source)
         elif isinstance(message, PermitResponse):
@@ -270,12 +270,12 @@
         is_new = known is None or known.heartbeat.incarnation != heartbeat.incarnation
         if not self._take(heartbeat, now):
             return
-        self._relaying.pass_on(PassedOn(now, heartbeat), scope)
+        self._relaying.pass_on(RelayedHeartbeat(now, heartbeat), scope)
         if is_new and self._greets(scope):
             # So that it knows us at once, and serves even if the store, which may
             # be away just now, has told it nothing yet.
             self._greet(heartbeat.peer_address, now)
-            self._listener.newcomer_met(heartbeat.peer_address)
+            self._listener.peer_joined(heartbeat.peer_address)
 
     def _greet(self, peer_address: str, now: float) -> None:
         self._sequence += 1
@@ -289,17 +289,17 @@
             return True
         return self._recipients.own_relay() is None
 
-    def _take(self, heartbeat: Heartbeat, heard_at: float) -> bool:
+    def _take(self, heartbeat: Heartbeat, received_at: float) -> bool:
         daemon_id = heartbeat.daemon_id
         is_unknown = daemon_id not in self.members.members_by_id
-        if not self.members.receive(heartbeat, heard_at):
+        if not self.members.receive(heartbeat, received_at):
             return False
         if is_unknown:
             self._met_ids.append(daemon_id)
-        self.load.receive(daemon_id, heartbeat.jobs, heard_at)
-        self.slowdowns.receive(heartbeat.slow_engines, heard_at)
+        self.load.receive(daemon_id, heartbeat.jobs, received_at)
+        self.slowdowns.receive(heartbeat.slow_engines, received_at)
         self._receive_limits(heartbeat)
-        self._listener.heartbeat_heard(heartbeat, heard_at)
+        self._listener.heartbeat_received(heartbeat, received_at)
         return True
 
     def _receive_limits(self, heartbeat: Heartbeat) -> None:
--- a/cranberrywick/gateway/permits.py
+++ b/cranberrywick/gateway/permits.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from cranberrywick.gateway.messages import Message, PermitRequest, PermitResponse
-from cranberrywick.gateway.rare_log import RareLog
+from cranberrywick.gateway.throttled_log import ThrottledLog
 from cranberrywick.logs import EventLog
 from cranberrywick.routing.fleet_limits import FleetLimits, Permit
 
@@ -56,7 +56,7 @@
         self._send = send
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._unanswered = RareLog(log, self._loop.time)
+        self._unanswered = ThrottledLog(log, self._loop.time)
         # Numbers of an earlier process of this address must not be taken for ours.
         self._number = random.getrandbits(48)
         self._pending_by_number: dict[int, asyncio.Future[Permit]] = {}
--- a/cranberrywick/gateway/permitted_places.py
+++ b/cranberrywick/gateway/permitted_placements.py
@@ -4,7 +4,7 @@
 
 from cranberrywick.errors import Overloaded
 from cranberrywick.gateway.exchange import Exchange
-from cranberrywick.gateway.late_metrics import LateMetrics
+from cranberrywick.gateway.lazy_metrics import LazyMetrics
 from cranberrywick.gateway.permits import Admission
 from cranberrywick.gateway.state import FleetState
 from cranberrywick.gateway.waiting import WaitingRequests
@@ -13,14 +13,14 @@
 from cranberrywick.routing.fleet_limits import longest_permit_wait
 from cranberrywick.routing.placement import Placement
 
-__all__ = ["PermittedPlaces"]
+__all__ = ["PermittedPlacements"]
 
 # A request looks for a place again where an endpoint's steward refuses a permit. After
 # so many, most of its endpoints are at their limits.
 MOST_PERMITS_ASKED = 8
 
 
-class PermittedPlaces:
+class PermittedPlacements:
     """Finds a place for a request and, where the endpoint has a limit, a permit."""
 
     def __init__(
@@ -28,7 +28,7 @@
         failure_domain: str,
         state: FleetState,
         waiting: WaitingRequests,
-        metrics: LateMetrics,
+        metrics: LazyMetrics,
         log: EventLog,
     ):
         self._failure_domain = failure_domain
@@ -46,7 +46,7 @@
         for _ in range(MOST_PERMITS_ASKED):
             placement = await self._place(exchange)
             asked_at = self._loop.time()
-            admission = await self._state.news.permits.admit(
+            admission = await self._state.peer_updates.permits.admit(
                 placement.endpoint_id, placement.longest_wait
             )
             if admission.steward:
@@ -72,7 +72,7 @@
     ) -> None:
         self._metrics.permit_asked(exchange.route.name, admission.granted, seconds)
         now = self._loop.time()
-        limits = self._state.news.limits
+        limits = self._state.peer_updates.limits
         self._log.info(
             "permit_asked",
             request_id=exchange.meta.request_id,
--- a/cranberrywick/gateway/registration.py
+++ b/cranberrywick/gateway/registration.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from cranberrywick.external.key_value import LeaseLapsed
-from cranberrywick.gateway.fleet_news import FleetNews
+from cranberrywick.gateway.peer_updates import PeerUpdates
 from cranberrywick.gateway.store_calls import StoreCalls
 from cranberrywick.gateway.store_reader import Store
 from cranberrywick.gateway.ticker import Ticker
@@ -28,13 +28,13 @@
         daemon_id: str,
         store: Store,
         calls: StoreCalls,
-        news: FleetNews,
+        peer_updates: PeerUpdates,
         rng: random.Random,
     ):
         self._daemon_id = daemon_id
         self._store = store
         self._calls = calls
-        self._news = news
+        self._peer_updates = peer_updates
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._lease: int | None = None
@@ -67,20 +67,22 @@
             except LeaseLapsed:
                 pass  # As after an outage of the store: the key is gone with it.
         return self._store.register(
-            self._daemon_id, self._news.peer_address, LEASE_SECONDS
+            self._daemon_id, self._peer_updates.peer_address, LEASE_SECONDS
         )
 
     def _registered(self, lease: int, asked_at: float) -> None:
         if lease != self._lease:
             self._lease = lease
-            self._log.info("registered", address=self._news.peer_address, lease=lease)
+            self._log.info(
+                "registered", address=self._peer_updates.peer_address, lease=lease
+            )
 
     def _read_members_unless_heard(self) -> None:
-        if not self._news.has_heard_all:
+        if not self._peer_updates.has_received_all:
             self._read_members()
 
     def _read_members_by_turns(self) -> None:
-        if is_turn(self._news.members.count(self._loop.time()), self._rng):
+        if is_turn(self._peer_updates.members.count(self._loop.time()), self._rng):
             self._read_members()
 
     def _read_members(self) -> None:
@@ -88,7 +90,7 @@
 
     def _take_members(self, addresses_by_id: dict[str, str], asked_at: float) -> None:
         addresses_by_id.pop(self._daemon_id, None)
-        self._news.know(addresses_by_id)
+        self._peer_updates.set_registered_addresses(addresses_by_id)
 
 
 def _ignore(answer: object, asked_at: float) -> None:
--- a/cranberrywick/gateway/relaying.py
+++ b/cranberrywick/gateway/relaying.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from cranberrywick.gateway.fleet_link import Send
-from cranberrywick.gateway.heartbeat_rows import PassedOn, RelayNews
+from cranberrywick.gateway.heartbeat_rows import HeartbeatBatch, RelayedHeartbeat
 from cranberrywick.gateway.messages import Scope
 from cranberrywick.gateway.recipients import Recipients
 from cranberrywick.routing.model import GatewaySettings
@@ -26,16 +26,16 @@
         self._loop = asyncio.get_running_loop()
         self._flush: asyncio.TimerHandle | None = None
         # What waits to be passed on, by the daemon that it is of.
-        self._for_domain: dict[str, PassedOn] = {}
-        self._for_others: dict[str, PassedOn] = {}
+        self._for_domain: dict[str, RelayedHeartbeat] = {}
+        self._for_others: dict[str, RelayedHeartbeat] = {}
 
-    def pass_on(self, news: PassedOn, scope: Scope) -> None:
+    def pass_on(self, relayed: RelayedHeartbeat, scope: Scope) -> None:
         """Collect a heartbeat for all whom it has not reached."""
-        daemon_id = news.heartbeat.daemon_id
+        daemon_id = relayed.heartbeat.daemon_id
         if scope is not Scope.NOBODY:
-            self._for_domain[daemon_id] = news
+            self._for_domain[daemon_id] = relayed
         if scope is Scope.FLEET:
-            self._for_others[daemon_id] = news
+            self._for_others[daemon_id] = relayed
         if scope is not Scope.NOBODY and self._flush is None:
             self._flush = self._loop.call_later(FLUSH_SECONDS, self.flush)
 
@@ -60,13 +60,16 @@
             self._send_batches({}, recipients.other_relays(), Scope.DOMAIN)
 
     def _send_batches(
-        self, news_by_id: dict[str, PassedOn], addresses: Iterable[str], scope: Scope
+        self,
+        relayed_by_id: dict[str, RelayedHeartbeat],
+        addresses: Iterable[str],
+        scope: Scope,
     ) -> None:
         addresses = list(addresses)
-        news = tuple(news_by_id.values())
-        for start in range(0, max(1, len(news)), MOST_IN_BATCH):
-            part = news[start : start + MOST_IN_BATCH]
-            batch = RelayNews(
+        relayed = tuple(relayed_by_id.values())
+        for start in range(0, max(1, len(relayed)), MOST_IN_BATCH):
+            part = relayed[start : start + MOST_IN_BATCH]
+            batch = HeartbeatBatch(
                 self._settings.daemon_id, self._settings.failure_domain, part
             )
             self._send(batch, addresses, scope)
--- a/cranberrywick/gateway/state.py
+++ b/cranberrywick/gateway/state.py
@@ -1,7 +1,7 @@
 """What one daemon knows of the fleet, kept fresh.
 
 Everything here runs on the event loop. The store is called through `StoreReader`
-actors, peers through `FleetNews`.
+actors, peers through `PeerUpdates`.
 """
 
 import asyncio
@@ -9,18 +9,18 @@
 from collections.abc import Callable
 from math import inf
 
-from cranberrywick.gateway.endpoint_knowledge import EndpointKnowledge, PeerReading
-from cranberrywick.gateway.endpoint_reading import EndpointReading
-from cranberrywick.gateway.fleet_news import FleetNews, Standing
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
+from cranberrywick.gateway.endpoint_tracker import EndpointTracker, PeerSnapshotOutcome
 from cranberrywick.gateway.messages import (
-    EndpointsWanted,
+    EndpointSnapshotRequest,
     Message,
-    OperatorReading,
-    OperatorWanted,
-    Wanted,
+    OperatorSnapshot,
+    OperatorSnapshotRequest,
+    SnapshotRequest,
 )
-from cranberrywick.gateway.operator_knowledge import OperatorKnowledge
+from cranberrywick.gateway.operator_tracker import OperatorTracker
 from cranberrywick.gateway.peer_fetches import PeerFetches
+from cranberrywick.gateway.peer_updates import DaemonStatus, PeerUpdates
 from cranberrywick.gateway.registration import Registration
 from cranberrywick.gateway.store_calls import StoreCalls
 from cranberrywick.gateway.store_reader import Store
@@ -80,14 +80,14 @@
         self._ticker = ticker
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._operator = OperatorKnowledge(decode, log)
-        self._endpoints = EndpointKnowledge(log)
-        self.news = FleetNews(settings, self, log)
+        self._operator = OperatorTracker(decode, log)
+        self._endpoints = EndpointTracker(log)
+        self.peer_updates = PeerUpdates(settings, self, log)
         self.leaving = False
         self._was_ready = asyncio.Event()
         self._starts_until = float("inf")
         self.changed: Callable[[], None] = lambda: None
-        self._fetches = PeerFetches(lambda: self.news.link, log)
+        self._fetches = PeerFetches(lambda: self.peer_updates.link, log)
         self._fetch_not_before = float("-inf")
         self._rng = random.Random()
         self._calls = StoreCalls(
@@ -97,13 +97,13 @@
             self._rng,
         )
         self._registration = Registration(
-            settings.daemon_id, store, self._calls, self.news, self._rng
+            settings.daemon_id, store, self._calls, self.peer_updates, self._rng
         )
 
     async def start(self) -> None:
         """Begin to listen, read and tell."""
         self._starts_until = self._loop.time() + STARTING_SECONDS
-        await self.news.start(self._ticker)
+        await self.peer_updates.start(self._ticker)
         self._look()
         self._registration.start(self._ticker)
         self._ticker.when_due(self._look, self._look_pause)
@@ -125,18 +125,18 @@
     def leave(self) -> None:
         """Tell the others that this daemon takes no new callers."""
         self.leaving = True
-        self.news.send_heartbeat()
+        self.peer_updates.send_heartbeat()
         self._registration.end()
 
     @property
     def members(self) -> Members:
         """The other daemons."""
-        return self.news.members
+        return self.peer_updates.members
 
     @property
     def load(self) -> FleetLoad:
         """What the fleet has at each endpoint."""
-        return self.news.load
+        return self.peer_updates.load
 
     @property
     def registry(self) -> EndpointRegistry:
@@ -171,19 +171,19 @@
 
     def may_send(self, endpoint_id: str, as_last_resort: bool) -> bool:
         """Whether an endpoint may be sent to in this very moment."""
-        belief = self.registry.beliefs_by_id.get(endpoint_id)
-        if belief is None:
+        tracked = self.registry.tracked_by_id.get(endpoint_id)
+        if tracked is None:
             return False
         if not as_last_resort:
-            return is_usable(belief, self.domains_out)
-        return self._loop.time() < usable_until(belief, self.restrictions)
+            return is_usable(tracked, self.domains_out)
+        return self._loop.time() < usable_until(tracked, self.restrictions)
 
     @property
     def ready(self) -> bool:
         """Whether requests can be served."""
         return (
             self.table is not None
-            and bool(self.registry.beliefs_by_id)
+            and bool(self.registry.tracked_by_id)
             and not self.leaving
         )
 
@@ -196,20 +196,20 @@
         """Return how many seconds ago the operators' view was the newest."""
         return self._operator.age(now)
 
-    # What FleetNews asks and tells
+    # What PeerUpdates asks and tells
 
-    def standing(self, now: float) -> Standing:
+    def daemon_status(self, now: float) -> DaemonStatus:
         """Return what this daemon tells of itself."""
-        return Standing(
+        return DaemonStatus(
             leaving=not self.ready,
             operator_revision=self._operator.revision,
             operator_digest=self._operator.digest,
             operator_age=self._operator.age(now),
         )
 
-    def heartbeat_heard(self, heartbeat: Heartbeat, heard_at: float) -> None:
+    def heartbeat_received(self, heartbeat: Heartbeat, received_at: float) -> None:
         """Compare the operators' view of a peer with this daemon's."""
-        newest_at = heard_at - heartbeat.operator_age
+        newest_at = received_at - heartbeat.operator_age
         is_newer = self._operator.compare(
             heartbeat.operator_revision, heartbeat.operator_digest, newest_at
         )
@@ -217,50 +217,52 @@
             self._fetch_operator(heartbeat.operator_revision)
         self.changed()
 
-    def endpoints_heard(self, reading: EndpointReading) -> None:
+    def endpoints_received(self, snapshot: EndpointSnapshot) -> None:
         """Take a peer's reading of the endpoints."""
         was_ready = self.ready
-        outcome = self._endpoints.take_news(reading, self._loop.time())
-        if outcome is not PeerReading.OLD:
-            self._calls.policies["endpoints"].arrived(reading.age)
-        if outcome is PeerReading.CHANGED:
+        outcome = self._endpoints.apply_peer_snapshot(snapshot, self._loop.time())
+        if outcome is not PeerSnapshotOutcome.OLD:
+            self._calls.policies["endpoints"].arrived(snapshot.age)
+        if outcome is PeerSnapshotOutcome.CHANGED:
             self._note_change(was_ready)
-        elif outcome is PeerReading.MISSED:
+        elif outcome is PeerSnapshotOutcome.MISSED:
             self._fetch_endpoints_unless_read()
 
-    def newcomer_met(self, peer_address: str) -> None:
+    def peer_joined(self, peer_address: str) -> None:
         """Tell a daemon that has just started the endpoints."""
-        reading = self._endpoints.told_reading(self._loop.time())
-        if reading is not None:
-            self.news.link.send(reading, [peer_address])
+        snapshot = self._endpoints.initial_snapshot(self._loop.time())
+        if snapshot is not None:
+            self.peer_updates.link.send(snapshot, [peer_address])
 
-    def answer(self, wanted: Wanted) -> Message | None:
+    def answer(self, request: SnapshotRequest) -> Message | None:
         """Return what a peer that asks is told; None while nothing is known."""
-        if isinstance(wanted, EndpointsWanted):
-            return self._endpoints.whole_reading(self._loop.time())
+        if isinstance(request, EndpointSnapshotRequest):
+            return self._endpoints.full_snapshot(self._loop.time())
         view = self._operator.view
         if view is None:
             return None
-        return OperatorReading(view, self._operator.age(self._loop.time()))
+        return OperatorSnapshot(view, self._operator.age(self._loop.time()))
 
     def declared_rate(self, endpoint_id: str) -> float:
         """Return how many requests a second a cold endpoint takes; else infinity."""
-        belief = self.registry.beliefs_by_id.get(endpoint_id)
+        tracked = self.registry.tracked_by_id.get(endpoint_id)
         table = self.table
-        if belief is None or table is None or self._loop.time() >= belief.cold_until:
+        if tracked is None or table is None or self._loop.time() >= tracked.cold_until:
             return inf
-        service = table.configuration.services_by_name.get(belief.record.service)
+        service = table.configuration.services_by_name.get(tracked.record.service)
         return service.cold_rate if service and service.cold_rate > 0 else inf
 
     def _fetch_operator(self, revision: int) -> None:
         def informed() -> list[str]:
-            return self.news.informed(lambda beat: beat.operator_revision >= revision)
+            return self.peer_updates.informed(
+                lambda beat: beat.operator_revision >= revision
+            )
 
-        def take(reading: Message, source: str, asked_at: float) -> None:
-            if isinstance(reading, OperatorReading):
-                self._take_operator(reading.view, asked_at - reading.age, source)
+        def take(snapshot: Message, source: str, asked_at: float) -> None:
+            if isinstance(snapshot, OperatorSnapshot):
+                self._take_operator(snapshot.view, asked_at - snapshot.age, source)
 
-        self._fetches.begin(OperatorWanted(), informed, take)
+        self._fetches.begin(OperatorSnapshotRequest(), informed, take)
 
     def _fetch_endpoints_unless_read(self) -> None:
         """Fetch all endpoints, but not again and again and not beside a reading.
@@ -273,7 +275,7 @@
             "endpoints", self._store.read_endpoints
         ):
             return
-        known = len(self.registry.beliefs_by_id)
+        known = len(self.registry.tracked_by_id)
         pause = max(FETCH_AGAIN_SECONDS, known * FETCH_AGAIN_SECONDS_PER_ENDPOINT)
         self._fetch_not_before = now + pause
         self._fetch_endpoints()
@@ -282,14 +284,14 @@
         """Ask a peer for all endpoints, after news of a change was missed."""
 
         def informed() -> list[str]:
-            return self.news.informed(lambda beat: not beat.leaving)
+            return self.peer_updates.informed(lambda beat: not beat.leaving)
 
-        def take(reading: Message, source: str, asked_at: float) -> None:
-            if isinstance(reading, EndpointReading):
-                age = reading.age + self._loop.time() - asked_at
-                self.endpoints_heard(reading._replace(age=age))
+        def take(snapshot: Message, source: str, asked_at: float) -> None:
+            if isinstance(snapshot, EndpointSnapshot):
+                age = snapshot.age + self._loop.time() - asked_at
+                self.endpoints_received(snapshot._replace(age=age))
 
-        self._fetches.begin(EndpointsWanted(), informed, take)
+        self._fetches.begin(EndpointSnapshotRequest(), informed, take)
 
     # Calls of the store
 
@@ -323,22 +325,23 @@
     def _endpoints_read(self, view: EndpointView, read_at: float) -> None:
         now = self._loop.time()
         was_ready = self.ready
-        taken = self._endpoints.take(view, read_at, now)
+        taken = self._endpoints.apply_store_snapshot(view, read_at, now)
         if taken.changed:
             self._note_change(was_ready)
-        if taken.reading is not None:
-            self.news.tell_all(taken.reading)
+        if taken.snapshot is not None:
+            self.peer_updates.broadcast(taken.snapshot)
 
     def _operator_read(self, view: OperatorView, read_at: float) -> None:
         if not self._take_operator(view, read_at, "store"):
-            self.news.job_added()  # So that the others know how fresh theirs is.
+            # So that the others know how fresh theirs is.
+            self.peer_updates.job_added()
 
     def _take_operator(self, view: OperatorView, read_at: float, source: str) -> bool:
         was_ready = self.ready
-        if not self._operator.take(view, read_at, source):
+        if not self._operator.apply(view, read_at, source):
             return False
         # Whoever has not got it yet may ask this daemon from now on.
-        self.news.send_heartbeat()
+        self.peer_updates.send_heartbeat()
         self._note_change(was_ready)
         return True
 
@@ -348,5 +351,5 @@
             self._was_ready.set()
         if self.ready != was_ready:
             self._log.info("ready_changed", ready=self.ready)
-            self.news.send_heartbeat()
+            self.peer_updates.send_heartbeat()
         self.changed()
--- a/cranberrywick/gateway/store_calls.py
+++ b/cranberrywick/gateway/store_calls.py
@@ -10,7 +10,7 @@
 from cranberrywick.errors import CranberrywickError
 from cranberrywick.gateway.store_reader import StoreReader
 from cranberrywick.logs import EventLog
-from cranberrywick.routing.freshness import ReadingPolicy
+from cranberrywick.routing.freshness import RefreshPolicy
 
 __all__ = ["StoreCalls"]
 
@@ -18,7 +18,7 @@
 class StoreCalls:
     """Makes calls on actors, one at a time for each reader, and hands answers back.
 
-    Each reader has a `ReadingPolicy` of its own, which hears of every answer and
+    Each reader has a `RefreshPolicy` of its own, which hears of every answer and
     failure. ``members`` says how many daemons live.
 
     >>> calls.make("endpoints", store.read_endpoints, take_endpoints)
@@ -38,7 +38,7 @@
         self._loop = asyncio.get_running_loop()
         self._actors = {name: ControllerHandle(StoreReader) for name in self.READERS}
         self.policies = {
-            name: ReadingPolicy(drain_seconds, rng) for name in self.READERS
+            name: RefreshPolicy(drain_seconds, rng) for name in self.READERS
         }
         self._pending: set[str] = set()
         self._lost: set[str] = set()
--- a/cranberrywick/gateway/rare_log.py
+++ b/cranberrywick/gateway/throttled_log.py
@@ -4,19 +4,19 @@
 
 from cranberrywick.logs import EventLog
 
-__all__ = ["RareLog"]
+__all__ = ["ThrottledLog"]
 
 # One line in so many seconds.
 PAUSE_SECONDS = 10.0
 
 
-class RareLog:
+class ThrottledLog:
     """Writes a warning at most now and then, with how many there were since the last.
 
     A peer that sends what can't be read does so many times a second: a line for each
     would drown all others.
 
-    >>> invalid = RareLog(log, loop.time)
+    >>> invalid = ThrottledLog(log, loop.time)
     >>> invalid.warning("peer_message_invalid", error=error)
     """
 
--- a/cranberrywick/gateway/waiting.py
+++ b/cranberrywick/gateway/waiting.py
@@ -130,12 +130,12 @@
             self._refuse_limited(demand, usable, now)
             return None
         self._state.load.put(demand.request_id, placement.jobs)
-        self._state.news.job_added()
+        self._state.peer_updates.job_added()
         return placement
 
     def _refuse_limited(self, demand: Demand, usable: EndpointPool, now: float) -> None:
         """Raise `Overloaded` for a request that limits keep back for too long."""
-        limit_wait = self._state.news.limits.wait_seconds
+        limit_wait = self._state.peer_updates.limits.wait_seconds
         wait = limited_seconds(demand, usable, limit_wait, now)
         if wait is None:
             return
@@ -152,8 +152,8 @@
         state = self._state
         now = self._loop.time()
         usable = state.registry.index.ready(service, state.domains_out)
-        limits = state.news.limits
-        rates = (limits.rate(belief.endpoint_id) for belief in usable)
+        limits = state.peer_updates.limits
+        rates = (limits.rate(tracked.endpoint_id) for tracked in usable)
         total = sum(rate for rate in rates if rate < inf)
         pause = state.members.count(now) / max(total, LEAST_RATE)
         return self._returns.retry_seconds(service, wait, pause, now)
--- a/cranberrywick/routing/candidates.py
+++ b/cranberrywick/routing/candidates.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import Service
@@ -35,7 +35,7 @@
     ``limit_wait`` is how many seconds its rate limit keeps a request from it.
     """
 
-    belief: EndpointBelief
+    tracked: TrackedEndpoint
     jobs: Sequence[Job]
     cooling_down: bool
     limit_wait: float = 0.0
@@ -43,7 +43,7 @@
     @property
     def endpoint_id(self) -> str:
         """The endpoint's id."""
-        return self.belief.endpoint_id
+        return self.tracked.endpoint_id
 
 
 def sound(candidates: Iterable[Candidate]) -> list[Candidate]:
@@ -73,18 +73,18 @@
         return self.untried(demand, self._sample(demand, usable), now)
 
     def untried(
-        self, demand: Demand, beliefs: Iterable[EndpointBelief], now: float
+        self, demand: Demand, tracked_endpoints: Iterable[TrackedEndpoint], now: float
     ) -> list[Candidate]:
         """Return those of these endpoints that have not failed the request yet."""
         return [
             Candidate(
-                belief,
-                self._load.at(belief.endpoint_id),
-                self._health.is_cooling_down(belief.endpoint_id, now),
-                self._limit_wait(belief.endpoint_id, now),
+                tracked,
+                self._load.at(tracked.endpoint_id),
+                self._health.is_cooling_down(tracked.endpoint_id, now),
+                self._limit_wait(tracked.endpoint_id, now),
             )
-            for belief in beliefs
-            if belief.endpoint_id not in demand.tried_ids
+            for tracked in tracked_endpoints
+            if tracked.endpoint_id not in demand.tried_ids
         ]
 
     def free(
@@ -94,32 +94,32 @@
         return [
             each
             for each in candidates
-            if not _is_full(service, each.belief, each.jobs, now)
+            if not _is_full(service, each.tracked, each.jobs, now)
         ]
 
     def _sample(
         self, demand: Demand, usable: EndpointPool
-    ) -> Collection[EndpointBelief]:
+    ) -> Collection[TrackedEndpoint]:
         size = _sample_size(demand)
         if len(usable) <= size:
             return usable
         sampled = self._rng.sample(usable, size)
-        beliefs_by_id = {belief.endpoint_id: belief for belief in sampled}
+        tracked_by_id = {tracked.endpoint_id: tracked for tracked in sampled}
         for endpoint_id in demand.answering_ids or ():
-            belief = usable.get(endpoint_id)
-            if belief is not None:
-                beliefs_by_id[endpoint_id] = belief
-        return beliefs_by_id.values()
+            tracked = usable.get(endpoint_id)
+            if tracked is not None:
+                tracked_by_id[endpoint_id] = tracked
+        return tracked_by_id.values()
 
 
 def _is_full(
-    service: Service, belief: EndpointBelief, jobs: Sequence[Job], now: float
+    service: Service, tracked: TrackedEndpoint, jobs: Sequence[Job], now: float
 ) -> bool:
-    if sum(not job.helper for job in jobs) >= belief.record.slots:
+    if sum(not job.helper for job in jobs) >= tracked.record.slots:
         return True
-    if sum(job.helper for job in jobs) >= belief.record.slots:
+    if sum(job.helper for job in jobs) >= tracked.record.slots:
         return True
-    if now >= belief.cold_until or service.cold_rate <= 0:
+    if now >= tracked.cold_until or service.cold_rate <= 0:
         return False
     recent = sum(now - job.started_at < 1.0 for job in jobs)
     return recent >= service.cold_rate
--- a/cranberrywick/routing/endpoint_index.py
+++ b/cranberrywick/routing/endpoint_index.py
@@ -11,10 +11,10 @@
 
 from cranberrywick.routing.model import EndpointRecord
 
-__all__ = ["EndpointBelief", "EndpointIndex", "EndpointPool"]
+__all__ = ["EndpointIndex", "EndpointPool", "TrackedEndpoint"]
 
 
-class EndpointBelief(NamedTuple):
+class TrackedEndpoint(NamedTuple):
     """An endpoint that may be used, and until when it is cold.
 
     ``missing_since`` is set while its record has lapsed in an outage.
@@ -33,7 +33,7 @@
         return self.record.endpoint_id
 
 
-class EndpointPool(Sequence[EndpointBelief]):
+class EndpointPool(Sequence[TrackedEndpoint]):
     """Endpoints that may be drawn from, in no particular order.
 
     It shows the endpoints as they are when it is read, and copies nothing.
@@ -50,10 +50,10 @@
         return sum(map(len, self._groups))
 
     @overload
-    def __getitem__(self, index: int) -> EndpointBelief: ...
+    def __getitem__(self, index: int) -> TrackedEndpoint: ...
 
     @overload
-    def __getitem__(self, index: slice) -> list[EndpointBelief]: ...
+    def __getitem__(self, index: slice) -> list[TrackedEndpoint]: ...
 
     def __getitem__(self, index):
         """Return the endpoint at a position, or those of a slice."""
@@ -66,25 +66,25 @@
             position -= len(group)
         raise IndexError(index)
 
-    def __iter__(self) -> Iterator[EndpointBelief]:
+    def __iter__(self) -> Iterator[TrackedEndpoint]:
         """Yield each endpoint once."""
         for group in self._groups:
             yield from group
 
-    def get(self, endpoint_id: str) -> EndpointBelief | None:
+    def get(self, endpoint_id: str) -> TrackedEndpoint | None:
         """Return an endpoint of the pool by id."""
         for group in self._groups:
-            belief = group.get(endpoint_id)
-            if belief is not None:
-                return belief
+            tracked = group.get(endpoint_id)
+            if tracked is not None:
+                return tracked
         return None
 
     @classmethod
-    def of(cls, beliefs: Sequence[EndpointBelief]) -> "EndpointPool":
+    def of(cls, tracked_endpoints: Sequence[TrackedEndpoint]) -> "EndpointPool":
         """Return a pool of just these endpoints."""
         group = _Group()
-        for belief in beliefs:
-            group.put(belief)
+        for tracked in tracked_endpoints:
+            group.put(tracked)
         return cls([group])
 
 
@@ -94,16 +94,16 @@
     def __init__(self) -> None:
         self._groups_by_service: dict[str, dict[_GroupKey, _Group]] = {}
 
-    def put(self, belief: EndpointBelief, before: EndpointBelief | None) -> None:
+    def put(self, tracked: TrackedEndpoint, before: TrackedEndpoint | None) -> None:
         """Add an endpoint, or replace what was believed of it."""
-        if before is not None and _key(before) != _key(belief):
+        if before is not None and _key(before) != _key(tracked):
             self.remove(before)
-        groups = self._groups_by_service.setdefault(belief.record.service, {})
-        groups.setdefault(_key(belief), _Group()).put(belief)
+        groups = self._groups_by_service.setdefault(tracked.record.service, {})
+        groups.setdefault(_key(tracked), _Group()).put(tracked)
 
-    def remove(self, belief: EndpointBelief) -> None:
+    def remove(self, tracked: TrackedEndpoint) -> None:
         """Drop an endpoint."""
-        self._groups_by_service[belief.record.service][_key(belief)].remove(belief)
+        self._groups_by_service[tracked.record.service][_key(tracked)].remove(tracked)
 
     def ready(self, service: str, domains_out: Set[str]) -> EndpointPool:
         """Return the endpoints of a service that may get new work."""
@@ -129,8 +129,8 @@
     draining: bool
 
 
-def _key(belief: EndpointBelief) -> _GroupKey:
-    record = belief.record
+def _key(tracked: TrackedEndpoint) -> _GroupKey:
+    record = tracked.record
     return _GroupKey(record.service, record.failure_domain, record.draining)
 
 
@@ -138,33 +138,33 @@
     """Endpoints by id that can also be read by position."""
 
     def __init__(self) -> None:
-        self._beliefs: list[EndpointBelief] = []
+        self._tracked_endpoints: list[TrackedEndpoint] = []
         self._positions_by_id: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._beliefs)
+        return len(self._tracked_endpoints)
 
-    def __iter__(self) -> Iterator[EndpointBelief]:
-        return iter(self._beliefs)
+    def __iter__(self) -> Iterator[TrackedEndpoint]:
+        return iter(self._tracked_endpoints)
 
-    def at(self, position: int) -> EndpointBelief:
-        return self._beliefs[position]
+    def at(self, position: int) -> TrackedEndpoint:
+        return self._tracked_endpoints[position]
 
-    def get(self, endpoint_id: str) -> EndpointBelief | None:
+    def get(self, endpoint_id: str) -> TrackedEndpoint | None:
         position = self._positions_by_id.get(endpoint_id)
-        return None if position is None else self._beliefs[position]
+        return None if position is None else self._tracked_endpoints[position]
 
-    def put(self, belief: EndpointBelief) -> None:
-        position = self._positions_by_id.get(belief.endpoint_id)
+    def put(self, tracked: TrackedEndpoint) -> None:
+        position = self._positions_by_id.get(tracked.endpoint_id)
         if position is None:
-            self._positions_by_id[belief.endpoint_id] = len(self._beliefs)
-            self._beliefs.append(belief)
+            self._positions_by_id[tracked.endpoint_id] = len(self._tracked_endpoints)
+            self._tracked_endpoints.append(tracked)
         else:
-            self._beliefs[position] = belief
+            self._tracked_endpoints[position] = tracked
 
-    def remove(self, belief: EndpointBelief) -> None:
-        position = self._positions_by_id.pop(belief.endpoint_id)
-        last = self._beliefs.pop()
-        if last.endpoint_id != belief.endpoint_id:
-            self._beliefs[position] = last
+    def remove(self, tracked: TrackedEndpoint) -> None:
+        position = self._positions_by_id.pop(tracked.endpoint_id)
+        last = self._tracked_endpoints.pop()
+        if last.endpoint_id != tracked.endpoint_id:
+            self._tracked_endpoints[position] = last
             self._positions_by_id[last.endpoint_id] = position
--- a/cranberrywick/routing/endpoint_limits.py
+++ b/cranberrywick/routing/endpoint_limits.py
@@ -92,15 +92,15 @@
             return None
         if known is not None and report.seen_at <= known.seen_at:
             return None
-        belief = _Observation(report.rate, report.seen_at, is_own=False)
-        return self._take(report.endpoint_id, belief)
+        observation = _Observation(report.rate, report.seen_at, is_own=False)
+        return self._take(report.endpoint_id, observation)
 
-    def _take(self, endpoint_id: str, belief: _Observation) -> LimitChange | None:
+    def _take(self, endpoint_id: str, observation: _Observation) -> LimitChange | None:
         previous = self.rate(endpoint_id)
-        self._observations_by_id[endpoint_id] = belief
-        if belief.rate == previous:
+        self._observations_by_id[endpoint_id] = observation
+        if observation.rate == previous:
             return None
-        return LimitChange(endpoint_id, belief.rate, previous)
+        return LimitChange(endpoint_id, observation.rate, previous)
 
     def rate(self, endpoint_id: str) -> float:
         """Return an endpoint's limit; infinity without one."""
@@ -117,20 +117,22 @@
 
     def report(self, endpoint_id: str) -> LimitReport:
         """Return what is known of an endpoint's limit."""
-        belief = self._observations_by_id.get(endpoint_id, _NEVER_SEEN)
-        return LimitReport(endpoint_id, belief.rate, belief.seen_at)
+        observation = self._observations_by_id.get(endpoint_id, _NEVER_SEEN)
+        return LimitReport(endpoint_id, observation.rate, observation.seen_at)
 
     def recent_ids(self, now: float) -> list[str]:
         """Return the endpoints of which this daemon's own answers told lately."""
         return [
             endpoint_id
-            for endpoint_id, belief in self._observations_by_id.items()
-            if belief.is_own and now - belief.seen_at <= REPORT_SECONDS
+            for endpoint_id, observation in self._observations_by_id.items()
+            if observation.is_own and now - observation.seen_at <= REPORT_SECONDS
         ]
 
     def forget(self, registered_ids: Set[str], now: float) -> None:
         """Drop endpoints that are gone, and limits that ended long ago."""
-        for endpoint_id, belief in list(self._observations_by_id.items()):
-            is_over = belief.rate == inf and now - belief.seen_at > ENDED_SECONDS
+        for endpoint_id, observation in list(self._observations_by_id.items()):
+            is_over = (
+                observation.rate == inf and now - observation.seen_at > ENDED_SECONDS
+            )
             if is_over or endpoint_id not in registered_ids:
                 del self._observations_by_id[endpoint_id]
--- a/cranberrywick/routing/freshness.py
+++ b/cranberrywick/routing/freshness.py
@@ -11,7 +11,7 @@
 
 import random
 
-__all__ = ["ReadingPolicy"]
+__all__ = ["RefreshPolicy"]
 
 # The first in rank reads so often, in seconds; with the steps below even the last
 # knows of a change within some 1.3 s, if all before it are lost at once.
@@ -28,7 +28,7 @@
 LONGEST_PAUSE_SECONDS = 3.0
 
 
-class ReadingPolicy:
+class RefreshPolicy:
     """Says when a daemon's knowledge is old enough for it to read by itself.
 
     ``drain_seconds`` is how long a leaving endpoint may still get work.
--- a/cranberrywick/routing/limited_choice.py
+++ b/cranberrywick/routing/limited_choice.py
@@ -9,7 +9,7 @@
 
 from cranberrywick.routing.candidates import Candidate, LimitWait
 from cranberrywick.routing.demand import Demand, may_answer
-from cranberrywick.routing.endpoint_index import EndpointBelief
+from cranberrywick.routing.endpoint_index import TrackedEndpoint
 
 __all__ = ["limited_seconds", "within_limits"]
 
@@ -43,15 +43,15 @@
 
 
 def limited_seconds(
-    demand: Demand, usable: Iterable[EndpointBelief], limit_wait: LimitWait, now: float
+    demand: Demand, usable: Iterable[TrackedEndpoint], limit_wait: LimitWait, now: float
 ) -> float | None:
     """Return when limits let a request go, if they alone keep it back for too long.
 
     None where an endpoint may answer it that has no limit, or takes it in time.
     """
     waits = []
-    for belief in usable:
-        endpoint_id = belief.endpoint_id
+    for tracked in usable:
+        endpoint_id = tracked.endpoint_id
         if endpoint_id in demand.tried_ids or not may_answer(demand, endpoint_id):
             continue
         wait = limit_wait(endpoint_id, now)
--- a/cranberrywick/routing/load.py
+++ b/cranberrywick/routing/load.py
@@ -89,8 +89,8 @@
 
     def evict_silent(self, now: float) -> None:
         """Drop the jobs of peers that have not been heard for long."""
-        for daemon_id, (heard_at, _) in list(self._peers.items()):
-            if now - heard_at > OWNER_SILENCE_SECONDS:
+        for daemon_id, (received_at, _) in list(self._peers.items()):
+            if now - received_at > OWNER_SILENCE_SECONDS:
                 del self._peers[daemon_id]
                 self._jobs_by_endpoint = None
 
--- a/cranberrywick/routing/members.py
+++ b/cranberrywick/routing/members.py
@@ -47,6 +47,11 @@
     its streams show of engines that are slower than declared.
     """
 
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "Heartbeat"
+
     daemon_id: str
     incarnation: int
     sequence: int
@@ -66,7 +71,7 @@
     """One daemon and when it was last heard."""
 
     heartbeat: Heartbeat
-    heard_at: float
+    received_at: float
 
 
 def heartbeat_seconds(members: int) -> float:
@@ -109,7 +114,7 @@
         # Incarnations come from the time of day, which may be set back before a
         # restart: a lower one counts once the higher one has fallen silent. Without
         # that its callers are sent elsewhere until the old one is forgotten.
-        is_silent = now - known.heard_at > self.silence_seconds
+        is_silent = now - known.received_at > self.silence_seconds
         return heartbeat.incarnation < old.incarnation and not is_silent
 
     def detect_silent(self, now: float) -> list[str]:
@@ -126,17 +131,17 @@
         silence = self.silence_seconds
         silent = []
         for daemon_id, member in list(self.members_by_id.items()):
-            age = now - member.heard_at
+            age = now - member.received_at
             if age > FORGET_SECONDS:
                 del self.members_by_id[daemon_id]
-            elif age > silence and before - member.heard_at <= silence:
+            elif age > silence and before - member.received_at <= silence:
                 silent.append(daemon_id)
         return silent
 
     def _discount_pause(self, seconds: float) -> None:
         for daemon_id, member in self.members_by_id.items():
-            heard_at = member.heard_at + seconds
-            self.members_by_id[daemon_id] = member._replace(heard_at=heard_at)
+            received_at = member.received_at + seconds
+            self.members_by_id[daemon_id] = member._replace(received_at=received_at)
 
     @property
     def silence_seconds(self) -> float:
@@ -151,7 +156,7 @@
         return [
             member.heartbeat
             for member in self.members_by_id.values()
-            if now - member.heard_at <= silence
+            if now - member.received_at <= silence
         ]
 
     def serving(self, now: float) -> list[Heartbeat]:
@@ -171,7 +176,7 @@
         alive = self.count(now)
         silence = self.silence_seconds
         silent = sum(
-            now - member.heard_at > silence and not member.heartbeat.leaving
+            now - member.received_at > silence and not member.heartbeat.leaving
             for member in self.members_by_id.values()
         )
         return alive / (alive + silent)
--- a/cranberrywick/routing/placement.py
+++ b/cranberrywick/routing/placement.py
@@ -93,7 +93,7 @@
 class Placer:
     """Places requests on endpoints; the caller passes what is known.
 
-    ``news_seconds`` returns how old others' jobs are when they are heard of,
+    ``update_delay_seconds`` returns how old others' jobs are when they are heard of,
     ``limit_wait`` how long an endpoint's rate limit keeps a request from it.
     """
 
@@ -103,7 +103,7 @@
         health: EndpointHealth,
         slowdowns: EngineSlowdowns,
         rng: random.Random,
-        news_seconds: Callable[[], float],
+        update_delay_seconds: Callable[[], float],
         limit_wait: LimitWait = _no_wait,
     ):
         self._load = load
@@ -111,7 +111,7 @@
         self._candidates = Candidates(load, health, rng, limit_wait)
         self._slowdowns = slowdowns
         self._rng = rng
-        self._news_seconds = news_seconds
+        self._update_delay_seconds = update_delay_seconds
 
     def place(
         self,
@@ -159,7 +159,7 @@
             return None
 
         def cost(candidate: Candidate) -> tuple[float, bool, float]:
-            record = candidate.belief.record
+            record = candidate.tracked.record
             endpoint_id = record.endpoint_id
             share = self._health.failure_share(endpoint_id, now)
             # Rounded: a share that has all but decayed must not decide for good.
@@ -210,7 +210,7 @@
 
     def _in_flight(self, now: float) -> float:
         """Return how many requests others have placed since their last news."""
-        return self._load.placed_each_second(now) * self._news_seconds()
+        return self._load.placed_each_second(now) * self._update_delay_seconds()
 
     def _engine(
         self,
@@ -223,7 +223,7 @@
         is_sensitive = demand.gap_seconds <= sensitive_gap
         jobs = candidate.jobs
         held = sum(job.held_tokens for job in jobs)
-        slots = candidate.belief.record.slots
+        slots = candidate.tracked.record.slots
         taken = sum(not job.helper for job in jobs)
         occupied = taken / slots
         answer_price = CROWD_PRICE * occupied**2
--- a/cranberrywick/routing/registry.py
+++ b/cranberrywick/routing/registry.py
@@ -7,10 +7,10 @@
 
 from typing import NamedTuple
 
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointIndex
+from cranberrywick.routing.endpoint_index import EndpointIndex, TrackedEndpoint
 from cranberrywick.routing.model import EndpointDelta, EndpointRecord, EndpointView
 
-__all__ = ["EndpointBelief", "EndpointChange", "EndpointRegistry"]
+__all__ = ["EndpointChange", "EndpointRegistry", "TrackedEndpoint"]
 
 # The longest pause between two readings in which no record can have lapsed: a
 # reader takes over well before it, so a longer one is an outage of the store.
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.revision = 0
         self.read_at = float("-inf")
-        self.beliefs_by_id: dict[str, EndpointBelief] = {}
+        self.tracked_by_id: dict[str, TrackedEndpoint] = {}
         self.index = EndpointIndex()
         self._cold_ids: set[str] = set()
         self._missing_ids: set[str] = set()
@@ -78,7 +78,7 @@
         self, record: EndpointRecord, known_until: float, changes: list[EndpointChange]
     ) -> None:
         endpoint_id = record.endpoint_id
-        before = self.beliefs_by_id.get(endpoint_id)
+        before = self.tracked_by_id.get(endpoint_id)
         old = before
         ready_until_known = float("-inf")
         if old is not None and old.record.born != record.born:
@@ -96,20 +96,22 @@
             self._cold_ids.add(endpoint_id)
         else:
             self._cold_ids.discard(endpoint_id)
-        belief = EndpointBelief(
+        tracked = TrackedEndpoint(
             record, float("-inf"), ready_until_known=ready_until_known
         )
-        self._replace(belief, before)
+        self._replace(tracked, before)
 
-    def _replace(self, belief: EndpointBelief, before: EndpointBelief | None) -> None:
-        self.beliefs_by_id[belief.endpoint_id] = belief
-        self.index.put(belief, before)
+    def _replace(
+        self, tracked: TrackedEndpoint, before: TrackedEndpoint | None
+    ) -> None:
+        self.tracked_by_id[tracked.endpoint_id] = tracked
+        self.index.put(tracked, before)
 
     def _miss(
         self, endpoint_id: str, now: float, changes: list[EndpointChange]
     ) -> None:
         """Note that an endpoint's record is no longer there."""
-        old = self.beliefs_by_id.get(endpoint_id)
+        old = self.tracked_by_id.get(endpoint_id)
         if old is None or endpoint_id in self._missing_ids:
             return
         # A record that says "draining" and is then missing has left: an outage is no
@@ -125,16 +127,16 @@
         Daemons are not told when a cold endpoint only says a new number of seconds.
         """
         for endpoint_id in self._cold_ids:
-            old = self.beliefs_by_id[endpoint_id]
+            old = self.tracked_by_id[endpoint_id]
             cold_until = self.read_at + old.record.cold_seconds
             self._replace(old._replace(cold_until=cold_until), old)
 
     def _drop_missing(self, now: float, changes: list[EndpointChange]) -> None:
         for endpoint_id in list(self._missing_ids):
-            old = self.beliefs_by_id[endpoint_id]
+            old = self.tracked_by_id[endpoint_id]
             if now < self._grace_until and old.missing_since is not None:
                 continue
-            del self.beliefs_by_id[endpoint_id]
+            del self.tracked_by_id[endpoint_id]
             self._missing_ids.discard(endpoint_id)
             self._cold_ids.discard(endpoint_id)
             self.index.remove(old)
--- a/cranberrywick/routing/relays.py
+++ b/cranberrywick/routing/relays.py
@@ -21,18 +21,18 @@
 
 __all__ = [
     "FLUSH_SECONDS",
-    "JOB_NEWS_SECONDS",
+    "JOB_UPDATE_SECONDS",
     "KEEPALIVE_SECONDS",
     "Relays",
     "needs_relays",
-    "news_seconds",
+    "update_delay_seconds",
 ]
 
 # Up to so many daemons everyone tells everyone: one hop in place of two or three,
 # for no more than a few hundred datagrams a second in the whole fleet.
 MOST_DIRECT_MEMBERS = 16
 # A daemon tells of a new job after this: several of one moment make one datagram.
-JOB_NEWS_SECONDS = 0.01
+JOB_UPDATE_SECONDS = 0.01
 # How long a relay collects. The longer, the older news is where it arrives and the more
 # requests are placed without it; the shorter, the more datagrams everybody reads.
 FLUSH_SECONDS = 0.05
@@ -47,12 +47,12 @@
     return members > MOST_DIRECT_MEMBERS
 
 
-def news_seconds(members: int) -> float:
+def update_delay_seconds(members: int) -> float:
     """Return how old the news of a job is when the others of a fleet hear it.
 
     Through two relays it waits half an interval at each, on average.
     """
-    return JOB_NEWS_SECONDS + (FLUSH_SECONDS if needs_relays(members) else 0.0)
+    return JOB_UPDATE_SECONDS + (FLUSH_SECONDS if needs_relays(members) else 0.0)
 
 
 class _Trial(NamedTuple):
--- a/cranberrywick/routing/usable.py
+++ b/cranberrywick/routing/usable.py
@@ -14,9 +14,9 @@
 from typing import NamedTuple
 
 from cranberrywick.routing.endpoint_index import (
-    EndpointBelief,
     EndpointIndex,
     EndpointPool,
+    TrackedEndpoint,
 )
 
 __all__ = ["Restrictions", "is_usable", "last_resort", "usable_until"]
@@ -40,22 +40,22 @@
     evacuate_seconds: float
 
 
-def is_usable(belief: EndpointBelief, domains_out: Set[str]) -> bool:
+def is_usable(tracked: TrackedEndpoint, domains_out: Set[str]) -> bool:
     """Whether an endpoint may get new work.
 
     `EndpointIndex.ready` draws the same line: neither one that is leaving nor one in
     a failure domain that operators have taken out may.
     """
-    record = belief.record
+    record = tracked.record
     return not record.draining and record.failure_domain not in domains_out
 
 
-def usable_until(belief: EndpointBelief, restrictions: Restrictions) -> float:
+def usable_until(tracked: TrackedEndpoint, restrictions: Restrictions) -> float:
     """Return until when an endpoint may be sent to; infinity if it is usable."""
-    record = belief.record
+    record = tracked.record
     until = float("inf")
     if record.draining:
-        until = belief.ready_until_known + restrictions.drain_seconds
+        until = tracked.ready_until_known + restrictions.drain_seconds
     out_since = restrictions.out_since_by_domain.get(record.failure_domain)
     if out_since is not None:
         until = min(until, out_since + restrictions.evacuate_seconds)
@@ -68,5 +68,5 @@
     """Return the endpoints that a service may use while it has no other."""
     others = index.others(service, restrictions.out_since_by_domain.keys())
     return EndpointPool.of(
-        [belief for belief in others if now < usable_until(belief, restrictions)]
+        [tracked for tracked in others if now < usable_until(tracked, restrictions)]
     )
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -15,7 +15,7 @@
 import random
 from collections.abc import Callable, Coroutine
 
-from cranberrywick.bench.simulated_news import NewsDaemon, NewsNetwork
+from cranberrywick.bench.simulated_network import SimulatedDaemon, SimulatedNetwork
 from cranberrywick.bench.virtual_time import run_in_virtual_time
 from cranberrywick.gateway.ticker import Ticker
 from cranberrywick.logs import EventLog
@@ -74,7 +74,7 @@
         return len(times) / (self.rate * seconds)
 
 
-class Network(NewsNetwork):
+class Network(SimulatedNetwork):
     """Also holds back what frozen daemons send and are sent."""
 
     def __init__(self) -> None:
@@ -104,12 +104,12 @@
         self.rng = random.Random(seed)
         self.network = Network()
         self.endpoints = [Endpoint(f"e{number}") for number in range(3)]
-        self.daemons: list[NewsDaemon] = []
+        self.daemons: list[SimulatedDaemon] = []
         self.sent = 0
         self.refused = 0
         self.longest_refusal = 0.0
         self._size = size
-        self._daemons_by_name: dict[str, NewsDaemon] = {}
+        self._daemons_by_name: dict[str, SimulatedDaemon] = {}
         self._tickers_by_name: dict[str, Ticker] = {}
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task] = set()
@@ -120,13 +120,15 @@
             self.daemons.append(await self._new(number))
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _new(self, number: int) -> NewsDaemon:
-        daemon = NewsDaemon(self.network, f"d{number:03}", DOMAINS[number % 3])
+    async def _new(self, number: int) -> SimulatedDaemon:
+        daemon = SimulatedDaemon(self.network, f"d{number:03}", DOMAINS[number % 3])
         self._daemons_by_name[daemon.name] = daemon
         ticker = self._tickers_by_name[daemon.name] = Ticker(EventLog())
-        await daemon.news.start(ticker)
+        await daemon.peer_updates.start(ticker)
         names = (f"d{other:03}" for other in range(self._size) if other != number)
-        daemon.news.know({name: f"{name}:7000" for name in names})
+        daemon.peer_updates.set_registered_addresses(
+            {name: f"{name}:7000" for name in names}
+        )
         return daemon
 
     def stop(self) -> None:
@@ -136,14 +138,14 @@
         for task in self._tasks:
             task.cancel()
 
-    def kill(self, daemon: NewsDaemon) -> None:
+    def kill(self, daemon: SimulatedDaemon) -> None:
         """End a daemon; what is sent to it is lost."""
         self._tickers_by_name.pop(daemon.name).stop()
         daemon.network = Network()
         self.daemons.remove(daemon)
         self.network.daemons_by_address.pop(daemon.address, None)
 
-    async def restart(self, daemon: NewsDaemon) -> None:
+    async def restart(self, daemon: SimulatedDaemon) -> None:
         """Start a daemon again that was killed; it knows nothing."""
         self.daemons.append(await self._new(int(daemon.name[1:])))
 
@@ -157,13 +159,15 @@
         for task in self._tasks:
             task.cancel()
 
-    def steward(self, endpoint: Endpoint) -> NewsDaemon:
+    def steward(self, endpoint: Endpoint) -> SimulatedDaemon:
         """Return who gives an endpoint's permits in one daemon's view.
 
         It may have been killed a moment ago.
         """
         daemon = self.daemons[0]
-        beat = daemon.news.limits.steward(endpoint.endpoint_id, self._loop.time())
+        beat = daemon.peer_updates.limits.steward(
+            endpoint.endpoint_id, self._loop.time()
+        )
         name = daemon.name if beat is None else beat.daemon_id
         return self._daemons_by_name[name]
 
@@ -177,10 +181,12 @@
             await asyncio.sleep(self.rng.expovariate(rate))
             self._start(self._call(self.rng.choice(self.daemons), endpoint))
 
-    async def _call(self, daemon: NewsDaemon, endpoint: Endpoint) -> None:
+    async def _call(self, daemon: SimulatedDaemon, endpoint: Endpoint) -> None:
         started = self._loop.time()
-        news = daemon.news
-        admission = await news.permits.admit(endpoint.endpoint_id, LONGEST_WAIT_SECONDS)
+        peer_updates = daemon.peer_updates
+        admission = await peer_updates.permits.admit(
+            endpoint.endpoint_id, LONGEST_WAIT_SECONDS
+        )
         if not admission.granted:
             self.refused += 1
             seconds = self._loop.time() - started
@@ -192,8 +198,8 @@
         endpoint.arrived_at.append(self._loop.time())
         await asyncio.sleep(ANSWER_SECONDS)
         rate = endpoint.answer(self._loop.time())
-        if news.limits.observe(endpoint.endpoint_id, rate, self._loop.time()):
-            news.limit_changed()
+        if peer_updates.limits.observe(endpoint.endpoint_id, rate, self._loop.time()):
+            peer_updates.limit_changed()
 
     def check_limits(self) -> None:
         """Assert that no endpoint got more than its limit allows."""
--- a/tests/test_at_fault.py
+++ b/tests/test_at_fault.py
@@ -4,7 +4,7 @@
 
 from cranberrywick.bench.prompt_engines import PROFILE
 from cranberrywick.routing.demand import Demand, fits_fleet
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
@@ -12,10 +12,10 @@
 from cranberrywick.routing.slowdown import EngineSlowdowns
 
 
-def beliefs(count):
+def tracked_endpoints(count):
     return EndpointPool.of(
         [
-            EndpointBelief(
+            TrackedEndpoint(
                 EndpointRecord(f"e{n}", "pool", "", "", 8, False, 0.0, 1), -1.0
             )
             for n in range(count)
@@ -59,7 +59,7 @@
                 tried_ids=frozenset({"e2"}),
                 answering_ids=frozenset({"e1"}),
             ),
-            beliefs(4),
+            tracked_endpoints(4),
             1.0,
         )
         assert placement.endpoint_id == "e1"
@@ -68,6 +68,8 @@
 
     def test_without_any_left_it_is_refused_at_once(self):
         """Its caller does not wait until the deadline for an endpoint that has left."""
-        assert not fits_fleet(demand(answering_ids=frozenset({"e9"})), beliefs(3))
-        assert not fits_fleet(demand(tried_ids=frozenset({"e0"})), beliefs(1))
-        assert fits_fleet(demand(answering_ids=frozenset({"e2"})), beliefs(3))
+        assert not fits_fleet(
+            demand(answering_ids=frozenset({"e9"})), tracked_endpoints(3)
+        )
+        assert not fits_fleet(demand(tried_ids=frozenset({"e0"})), tracked_endpoints(1))
+        assert fits_fleet(demand(answering_ids=frozenset({"e2"})), tracked_endpoints(3))
--- a/tests/test_endpoint_index.py
+++ b/tests/test_endpoint_index.py
@@ -8,7 +8,7 @@
 from cranberrywick.bench.prompt_engines import PROFILE
 from cranberrywick.routing.candidates import SAMPLE_SIZE
 from cranberrywick.routing.demand import Demand, fits_fleet
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import (
@@ -72,10 +72,12 @@
 
     @invariant()
     def pools_hold_what_is_believed(self):
-        beliefs = self.registry.beliefs_by_id.values()
+        tracked_endpoints = self.registry.tracked_by_id.values()
         for service in SERVICES:
             for out in (frozenset(), frozenset({"fd-a"})):
-                of_service = {b for b in beliefs if b.record.service == service}
+                of_service = {
+                    b for b in tracked_endpoints if b.record.service == service
+                }
                 usable = {b for b in of_service if is_usable(b, out)}
                 pool = self.registry.index.ready(service, out)
                 assert len(pool) == len(usable)
@@ -148,13 +150,13 @@
     registry = EndpointRegistry()
     first = thousands()
     registry.apply(first, 1.0, 1.0)
-    before = dict(registry.beliefs_by_id)
+    before = dict(registry.tracked_by_id)
     delta = EndpointDelta((record("i-0007", draining=True),), ())
     second = first.with_delta(delta, 2)
     assert first.digest_with_delta(delta, first.digest) == second.digest
     registry.apply_delta(second, delta, 1.5, 1.5)
     changed = {
-        i for i, belief in registry.beliefs_by_id.items() if belief is not before[i]
+        i for i, tracked in registry.tracked_by_id.items() if tracked is not before[i]
     }
     assert changed == {"i-0007"}
 
@@ -167,5 +169,5 @@
 
 
 def test_a_pool_can_be_made_of_beliefs():
-    belief = EndpointBelief(record("e1"), float("-inf"))
-    assert list(EndpointPool.of([belief])) == [belief]
+    tracked = TrackedEndpoint(record("e1"), float("-inf"))
+    assert list(EndpointPool.of([tracked])) == [tracked]
--- a/tests/test_endpoint_reading.py
+++ b/tests/test_endpoint_snapshot.py
@@ -6,8 +6,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from cranberrywick.errors import PeerMessageInvalid
-from cranberrywick.gateway.endpoint_knowledge import EndpointKnowledge, PeerReading
-from cranberrywick.gateway.endpoint_reading import EndpointReading
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
+from cranberrywick.gateway.endpoint_tracker import EndpointTracker, PeerSnapshotOutcome
 from cranberrywick.logs import EventLog
 from cranberrywick.routing.model import EndpointRecord, EndpointView
 
@@ -23,9 +23,9 @@
 
 
 def knowing(first):
-    knowledge = EndpointKnowledge(EventLog())
-    knowledge.take(first, 1.0, 1.0)
-    return knowledge
+    tracker = EndpointTracker(EventLog())
+    tracker.apply_store_snapshot(first, 1.0, 1.0)
+    return tracker
 
 
 def large(revision, leaving=()):
@@ -41,11 +41,11 @@
     has changed: told whole, the links of those who pass it on are full.
     """
     reader, other = knowing(large(1)), knowing(large(1))
-    taken = reader.take(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
-    assert len(taken.reading.changes) < 300
-    assert len(reader.whole_reading(2.0).changes) > 1000
-    assert other.take_news(taken.reading, 2.1) is PeerReading.CHANGED
-    assert other.registry.beliefs_by_id["i-0000000007"].record.draining
+    taken = reader.apply_store_snapshot(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
+    assert len(taken.snapshot.changes) < 300
+    assert len(reader.full_snapshot(2.0).changes) > 1000
+    assert other.apply_peer_snapshot(taken.snapshot, 2.1) is PeerSnapshotOutcome.CHANGED
+    assert other.registry.tracked_by_id["i-0000000007"].record.draining
 
 
 def test_who_missed_a_change_learns_that_and_asks_for_all():
@@ -55,33 +55,40 @@
     asks a peer for all records and sends nothing to the endpoint from then on.
     """
     reader, other = knowing(large(1)), knowing(large(1))
-    reader.take(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
-    same = reader.take(large(3, leaving=["i-0000000007"]), 4.5, 4.5).reading
+    reader.apply_store_snapshot(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
+    same = reader.apply_store_snapshot(
+        large(3, leaving=["i-0000000007"]), 4.5, 4.5
+    ).snapshot
     assert not same.changes
-    assert other.take_news(same, 4.6) is PeerReading.MISSED
-    assert not other.registry.beliefs_by_id["i-0000000007"].record.draining
-    assert other.take_news(reader.whole_reading(4.7), 4.7) is PeerReading.CHANGED
-    assert other.registry.beliefs_by_id["i-0000000007"].record.draining
-    assert other.take_news(same, 4.4) is PeerReading.OLD
+    assert other.apply_peer_snapshot(same, 4.6) is PeerSnapshotOutcome.MISSED
+    assert not other.registry.tracked_by_id["i-0000000007"].record.draining
+    assert (
+        other.apply_peer_snapshot(reader.full_snapshot(4.7), 4.7)
+        is PeerSnapshotOutcome.CHANGED
+    )
+    assert other.registry.tracked_by_id["i-0000000007"].record.draining
+    assert other.apply_peer_snapshot(same, 4.4) is PeerSnapshotOutcome.OLD
 
 
 def test_a_change_on_top_of_a_missed_one_is_not_applied():
     reader, other = knowing(large(1)), knowing(large(1))
-    reader.take(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
+    reader.apply_store_snapshot(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
     leaving = ["i-0000000007", "i-0000000008"]
-    second = reader.take(large(3, leaving), 4.5, 4.5).reading
+    second = reader.apply_store_snapshot(large(3, leaving), 4.5, 4.5).snapshot
     assert second.changes
-    assert other.take_news(second, 4.6) is PeerReading.MISSED
+    assert other.apply_peer_snapshot(second, 4.6) is PeerSnapshotOutcome.MISSED
 
 
 def test_a_lost_change_is_told_again_shortly_after():
     """Guards against daemons that fetch all records for each datagram that is lost."""
     reader, other = knowing(large(1)), knowing(large(1))
-    reader.take(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
-    second = reader.take(large(3, leaving=["i-0000000007"]), 2.5, 2.5).reading
+    reader.apply_store_snapshot(large(2, leaving=["i-0000000007"]), 2.0, 2.0)
+    second = reader.apply_store_snapshot(
+        large(3, leaving=["i-0000000007"]), 2.5, 2.5
+    ).snapshot
     assert len(second.changes) < 300
-    assert other.take_news(second, 2.6) is PeerReading.CHANGED
-    assert other.registry.beliefs_by_id["i-0000000007"].record.draining
+    assert other.apply_peer_snapshot(second, 2.6) is PeerSnapshotOutcome.CHANGED
+    assert other.registry.tracked_by_id["i-0000000007"].record.draining
 
 
 def test_two_that_read_at_the_same_time_contradict_nobody():
@@ -91,21 +98,23 @@
     not heard of the first one's reading and tells from an older state.
     """
     first, second, other = (knowing(large(1)) for _ in range(3))
-    told = first.take(large(2, leaving=["i-0000000007"]), 2.0, 2.0).reading
+    told = first.apply_store_snapshot(
+        large(2, leaving=["i-0000000007"]), 2.0, 2.0
+    ).snapshot
     leaving = ["i-0000000007", "i-0000000008"]
-    also_told = second.take(large(3, leaving), 2.05, 2.05).reading
-    assert other.take_news(told, 2.06) is PeerReading.CHANGED
-    assert other.take_news(also_told, 2.07) is PeerReading.CHANGED
-    assert other.registry.beliefs_by_id["i-0000000008"].record.draining
+    also_told = second.apply_store_snapshot(large(3, leaving), 2.05, 2.05).snapshot
+    assert other.apply_peer_snapshot(told, 2.06) is PeerSnapshotOutcome.CHANGED
+    assert other.apply_peer_snapshot(also_told, 2.07) is PeerSnapshotOutcome.CHANGED
+    assert other.registry.tracked_by_id["i-0000000008"].record.draining
 
 
 def test_changes_against_their_digest_are_refused():
     first, second = large(1), large(2, leaving=["i-0000000007"])
-    wrong = EndpointReading.difference(
+    wrong = EndpointSnapshot.difference(
         second, 7, 0.0, second.delta_from(first), first.digest
     )
     with pytest.raises(PeerMessageInvalid):
-        knowing(first).take_news(wrong, 2.0)
+        knowing(first).apply_peer_snapshot(wrong, 2.0)
 
 
 class TellingMachine(RuleBasedStateMachine):
@@ -123,8 +132,8 @@
         self.records = {"e1": record("e1")}
         self.revision = 1
         self.views_by_revision = {}
-        self.reader = EndpointKnowledge(EventLog())
-        self.others = [EndpointKnowledge(EventLog()) for _ in range(2)]
+        self.reader = EndpointTracker(EventLog())
+        self.others = [EndpointTracker(EventLog()) for _ in range(2)]
 
     @rule(
         endpoint_id=st.sampled_from(ids),
@@ -145,12 +154,15 @@
         self.now += 0.5
         read = EndpointView(self.revision, dict(self.records))
         self.views_by_revision[self.revision] = read
-        reading = self.reader.take(read, self.now, self.now).reading
+        snapshot = self.reader.apply_store_snapshot(read, self.now, self.now).snapshot
         for other, is_heard in zip(self.others, heard, strict=True):
-            if not is_heard or reading is None:
+            if not is_heard or snapshot is None:
                 continue
-            if other.take_news(reading, self.now) is PeerReading.MISSED:
-                other.take_news(self.reader.whole_reading(self.now), self.now)
+            if (
+                other.apply_peer_snapshot(snapshot, self.now)
+                is PeerSnapshotOutcome.MISSED
+            ):
+                other.apply_peer_snapshot(self.reader.full_snapshot(self.now), self.now)
             assert self.known_by(other) == read.records_by_id
 
     @rule()
@@ -160,15 +172,15 @@
 
     @invariant()
     def nobody_knows_a_mixture(self):
-        for knowledge in (self.reader, *self.others):
-            if knowledge.registry.revision:
-                told = self.views_by_revision[knowledge.registry.revision]
-                assert self.known_by(knowledge) == told.records_by_id
+        for tracker in (self.reader, *self.others):
+            if tracker.registry.revision:
+                told = self.views_by_revision[tracker.registry.revision]
+                assert self.known_by(tracker) == told.records_by_id
 
     @staticmethod
-    def known_by(knowledge):
+    def known_by(tracker):
         # The registry may keep a record that lapsed in an outage for a while longer.
-        return knowledge.whole_reading(0.0).applied_to(None, 0).view.records_by_id
+        return tracker.full_snapshot(0.0).applied_to(None, 0).view.records_by_id
 
 
 TestTelling = TellingMachine.TestCase
@@ -179,20 +191,20 @@
     """Guards against a start at which every daemon packs and sends all records."""
     ids = [f"i-{number:010x}" for number in range(3000)]
     thousands = view(1, *(record(i) for i in ids))
-    reader, other = EndpointKnowledge(EventLog()), EndpointKnowledge(EventLog())
-    assert reader.take(thousands, 1.0, 1.0).reading is None
-    told = reader.told_reading(1.0)
+    reader, other = EndpointTracker(EventLog()), EndpointTracker(EventLog())
+    assert reader.apply_store_snapshot(thousands, 1.0, 1.0).snapshot is None
+    told = reader.initial_snapshot(1.0)
     assert not told.changes
-    assert other.take_news(told, 1.1) is PeerReading.MISSED
-    whole = reader.whole_reading(1.2)
-    assert other.take_news(whole, 1.2) is PeerReading.CHANGED
-    assert other.registry.beliefs_by_id.keys() == set(ids)
+    assert other.apply_peer_snapshot(told, 1.1) is PeerSnapshotOutcome.MISSED
+    whole = reader.full_snapshot(1.2)
+    assert other.apply_peer_snapshot(whole, 1.2) is PeerSnapshotOutcome.CHANGED
+    assert other.registry.tracked_by_id.keys() == set(ids)
 
 
 def test_all_records_are_packed_once_for_all_who_ask():
     """Guards against a start at which one daemon packs all records for each other."""
-    knowledge = knowing(large(1))
-    first, second = knowledge.whole_reading(1.0), knowledge.whole_reading(2.0)
+    tracker = knowing(large(1))
+    first, second = tracker.full_snapshot(1.0), tracker.full_snapshot(2.0)
     assert first.changes is second.changes
     assert second.age == 1.0
 
@@ -203,18 +215,23 @@
     Some hundred of three thousand appear between two readings, for twelve seconds.
     """
     ids = [f"i-{number:010x}" for number in range(3000)]
-    reader, other = EndpointKnowledge(EventLog()), EndpointKnowledge(EventLog())
+    reader, other = EndpointTracker(EventLog()), EndpointTracker(EventLog())
     first = view(1, *(record(i) for i in ids[:100]))
-    for knowledge in (reader, other):
-        knowledge.take(first, 1.0, 1.0)
+    for tracker in (reader, other):
+        tracker.apply_store_snapshot(first, 1.0, 1.0)
     for number in range(1, 26):
         now = 1.0 + 0.45 * number
         known = view(1 + number, *(record(i) for i in ids[: 100 + 112 * number]))
-        reading = reader.take(known, now, now).reading
-        assert len(reading.changes) < 60_000
+        snapshot = reader.apply_store_snapshot(known, now, now).snapshot
+        assert len(snapshot.changes) < 60_000
         if number % 4:
             # Three readings in a row are lost, and the fourth makes them good.
             continue
-        assert other.take_news(reading, now + 0.05) is PeerReading.CHANGED
-    assert other.take_news(reading, now + 0.05) is PeerReading.CHANGED
-    assert other.registry.beliefs_by_id.keys() == reader.registry.beliefs_by_id.keys()
+        assert (
+            other.apply_peer_snapshot(snapshot, now + 0.05)
+            is PeerSnapshotOutcome.CHANGED
+        )
+    assert (
+        other.apply_peer_snapshot(snapshot, now + 0.05) is PeerSnapshotOutcome.CHANGED
+    )
+    assert other.registry.tracked_by_id.keys() == reader.registry.tracked_by_id.keys()
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -100,11 +100,11 @@
     async def scene(fleet):
         loop = asyncio.get_running_loop()
         (daemon,) = fleet.daemons
-        daemon.news.limits.observe("e0", 1.0, loop.time())
+        daemon.peer_updates.limits.observe("e0", 1.0, loop.time())
         granted_at = []
 
         async def call():
-            if (await daemon.news.permits.admit("e0", 10.0)).granted:
+            if (await daemon.peer_updates.permits.admit("e0", 10.0)).granted:
                 granted_at.append(loop.time())
 
         calls = [asyncio.create_task(call()) for _ in range(6)]
@@ -207,7 +207,7 @@
             endpoint.limit(None)
         await asyncio.sleep(5.0)
         for daemon in fleet.daemons:
-            limits = daemon.news.limits
+            limits = daemon.peer_updates.limits
             assert all(limits.rate(e.endpoint_id) == inf for e in fleet.endpoints)
 
     play(size, scene)
@@ -229,7 +229,7 @@
             await asyncio.sleep(2.0)
             await fleet.restart(daemon)
             await asyncio.sleep(1.0)
-            limits = fleet.daemons[-1].news.limits
+            limits = fleet.daemons[-1].peer_updates.limits
             assert all(limits.rate(each.endpoint_id) == 1.0 for each in fleet.endpoints)
 
     play(size, scene)
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -56,9 +56,9 @@
         self.now += seconds
         self.load.evict_silent(self.now)
         self.peers = {
-            peer: (heard_at, jobs)
-            for peer, (heard_at, jobs) in self.peers.items()
-            if self.now - heard_at <= OWNER_SILENCE_SECONDS
+            peer: (received_at, jobs)
+            for peer, (received_at, jobs) in self.peers.items()
+            if self.now - received_at <= OWNER_SILENCE_SECONDS
         }
 
     @invariant()
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -12,13 +12,13 @@
 from msgspec.msgpack import decode, encode
 
 from cranberrywick.errors import PeerMessageInvalid
-from cranberrywick.gateway.endpoint_reading import EndpointReading
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
 from cranberrywick.gateway.fleet_link import MAX_DATAGRAM_BYTES, FleetLink
 from cranberrywick.gateway.heartbeat_rows import (
-    PassedOn,
-    RelayNews,
-    pack_news,
-    unpack_news,
+    HeartbeatBatch,
+    RelayedHeartbeat,
+    pack_heartbeats,
+    unpack_heartbeats,
 )
 from cranberrywick.gateway.messages import (
     PermitRequest,
@@ -116,13 +116,13 @@
 
 def test_heartbeats_arrive_as_they_were_told():
     """Moments are moved to the receiver's clock, all else is the same."""
-    news = RelayNews("front-001", "fd-a", (PassedOn(9.5, heartbeat()),))
-    data = encode_message(news, 10.0, Scope.DOMAIN)
+    batch = HeartbeatBatch("front-001", "fd-a", (RelayedHeartbeat(9.5, heartbeat()),))
+    data = encode_message(batch, 10.0, Scope.DOMAIN)
     message, scope = decode_message(data, 110.0)
     assert scope is Scope.DOMAIN
     assert message.relay_id == "front-001"
     (heard,) = message.heartbeats
-    assert heard.heard_at == pytest.approx(109.5)
+    assert heard.received_at == pytest.approx(109.5)
     told = heartbeat()
     assert heard.heartbeat[:-3] == told[:-3]
     assert heard.heartbeat.slow_engines == told.slow_engines
@@ -152,8 +152,10 @@
     A relay collects 400 heartbeats with thirty jobs each within one interval. They
     leave in several datagrams, and every one of them arrives.
     """
-    beats = tuple(PassedOn(0.0, heartbeat(number, jobs=30)) for number in range(400))
-    recorder = sent([RelayNews("front-000", "fd-a", beats)])
+    beats = tuple(
+        RelayedHeartbeat(0.0, heartbeat(number, jobs=30)) for number in range(400)
+    )
+    recorder = sent([HeartbeatBatch("front-000", "fd-a", beats)])
     assert len(recorder.sent) > 1
     assert all(len(data) <= MAX_DATAGRAM_BYTES for data in recorder.sent)
     heard = [
@@ -166,7 +168,7 @@
 
 def test_a_reading_of_620_endpoints_is_one_datagram():
     view = view_of(620)
-    recorder = sent([EndpointReading.whole(view, view.digest, 0.0)])
+    recorder = sent([EndpointSnapshot.whole(view, view.digest, 0.0)])
     (data,) = recorder.sent
     assert decode_message(data, 0.0).message.applied_to(None, 0).view == view
 
@@ -177,8 +179,8 @@
     Each of them reads the store for itself then, which serves callers on.
     """
     view = view_of(6000)
-    reading = EndpointReading.whole(view, view.digest, 0.0)
-    recorder = sent([reading, reading])
+    snapshot = EndpointSnapshot.whole(view, view.digest, 0.0)
+    recorder = sent([snapshot, snapshot])
     assert not recorder.sent
     ((event, fields),) = recorder.warnings
     assert event == "peer_message_too_long"
@@ -187,8 +189,8 @@
 
 def test_records_that_are_not_those_of_their_digest_are_refused():
     view = view_of(3)
-    reading = EndpointReading.whole(view, view.digest + 1, 0.0)
-    message = decode_message(encode_message(reading, 0.0), 0.0).message
+    snapshot = EndpointSnapshot.whole(view, view.digest + 1, 0.0)
+    message = decode_message(encode_message(snapshot, 0.0), 0.0).message
     with pytest.raises(PeerMessageInvalid):
         message.applied_to(None, 0)
 
@@ -196,8 +198,10 @@
 TERMS = PermitTerms(2.0, 0.75, 0.5)
 VALID = [
     encode_message(heartbeat(), 10.0),
-    encode_message(RelayNews("a", "b", (PassedOn(9.0, heartbeat()),)), 10.0),
-    encode_message(EndpointReading.whole(view_of(3), view_of(3).digest, 0.0), 10.0),
+    encode_message(
+        HeartbeatBatch("a", "b", (RelayedHeartbeat(9.0, heartbeat()),)), 10.0
+    ),
+    encode_message(EndpointSnapshot.whole(view_of(3), view_of(3).digest, 0.0), 10.0),
     encode_message(PermitRequest(3, TERMS, LimitReport("i-1", 2.0, 9.0)), 10.0),
     encode_message(PermitResponse(3, Permit(True, 0.25, 1.5)), 10.0),
 ]
@@ -273,7 +277,7 @@
         changed[at] = data.draw(st.integers(0, 255))
     try:
         read = decode_message(zlib.compress(bytes(changed)), 0.0).message
-        if isinstance(read, EndpointReading):
+        if isinstance(read, EndpointSnapshot):
             read.applied_to(None, 0)
     except PeerMessageInvalid:
         pass
@@ -281,8 +285,8 @@
 
 def rows_with(**changes):
     """Return heartbeat rows with other values than their types allow."""
-    news = RelayNews("a", "b", (PassedOn(9.0, heartbeat()),))
-    relay, domain, (row,) = decode(pack_news(news, 10.0))
+    batch = HeartbeatBatch("a", "b", (RelayedHeartbeat(9.0, heartbeat()),))
+    relay, domain, (row,) = decode(pack_heartbeats(batch, 10.0))
     for index, value in changes.values():
         row[index] = value
     return encode([relay, domain, [row]])
@@ -302,4 +306,4 @@
 )
 def test_rows_out_of_bounds_are_refused(index, value):
     with pytest.raises(ValueError):
-        unpack_news(rows_with(change=(index, value)), 0.0)
+        unpack_heartbeats(rows_with(change=(index, value)), 0.0)
--- a/tests/test_gateway_attempt.py
+++ b/tests/test_gateway_attempt.py
@@ -7,7 +7,7 @@
 
 from cranberrywick.errors import EndpointRefused
 from cranberrywick.gateway.attempt import Attempt
-from cranberrywick.gateway.endpoint_knowledge import EndpointKnowledge
+from cranberrywick.gateway.endpoint_tracker import EndpointTracker
 from cranberrywick.logs import EventLog, make_handler
 from cranberrywick.model import EndpointRefusal, Executed
 from cranberrywick.routing.model import EndpointView
@@ -35,8 +35,8 @@
     """Operators see which endpoint gets no work because of its record."""
     stream = io.StringIO()
     with make_handler("info", stream).applicationbound():
-        knowledge = EndpointKnowledge(EventLog())
+        tracker = EndpointTracker(EventLog())
         for revision in (1, 2, 3):
             view = EndpointView(revision, {}, unusable_ids=("e9",))
-            knowledge.take(view, float(revision), float(revision))
+            tracker.apply_store_snapshot(view, float(revision), float(revision))
     assert stream.getvalue().count("event=endpoint_record_unusable endpoint=e9") == 1
--- a/tests/test_last_resort.py
+++ b/tests/test_last_resort.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from cranberrywick.gateway.operator_knowledge import OperatorKnowledge
+from cranberrywick.gateway.operator_tracker import OperatorTracker
 from cranberrywick.logs import EventLog
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import (
@@ -50,7 +50,7 @@
         self.left_at = {}
         self.out_at = {}
         self.registry = EndpointRegistry()
-        self.operator = OperatorKnowledge(lambda document: None, EventLog())
+        self.operator = OperatorTracker(lambda document: None, EventLog())
         self.read_endpoints(0.0)
         self.read_operator()
 
@@ -85,7 +85,7 @@
     def read_operator(self):
         self.now += 0.001
         view = OperatorView.of(self.revision, b"", frozenset(self.out_at))
-        self.operator.take(view, self.now - 0.001, "store")
+        self.operator.apply(view, self.now - 0.001, "store")
 
     @rule()
     def hear_that_nothing_changed(self):
@@ -99,8 +99,8 @@
             self.operator.out_since_by_domain, DRAIN_SECONDS, EVACUATE_SECONDS
         )
         pool = last_resort(self.registry.index, "notices", restrictions, self.now)
-        for belief in pool:
-            believed = belief.record
+        for tracked in pool:
+            believed = tracked.record
             endpoint_id = believed.endpoint_id
             if believed.draining and believed.born == self.records[endpoint_id].born:
                 assert self.now < self.left_at[endpoint_id] + DRAIN_SECONDS
@@ -114,7 +114,7 @@
 
 
 def leaving(ready_until_known):
-    return EndpointBelief(
+    return TrackedEndpoint(
         record("e1", draining=True), float("-inf"), None, ready_until_known
     )
 
@@ -130,10 +130,10 @@
 
 def test_the_earlier_of_two_bounds_counts():
     """Guards against a domain's longer bound that hides an endpoint's own leaving."""
-    belief = leaving(10.0)
+    tracked = leaving(10.0)
     domain = {"fd-a": 4.0}
-    alone = usable_until(belief, restrictions())
-    assert usable_until(belief, restrictions(**domain)) < alone < 13.0
+    alone = usable_until(tracked, restrictions())
+    assert usable_until(tracked, restrictions(**domain)) < alone < 13.0
 
 
 def notice():
@@ -153,7 +153,7 @@
         FleetLoad(), health, EngineSlowdowns(), random.Random(1), lambda: 0.0
     )
     pools = [
-        EndpointPool.of([EndpointBelief(record(i), float("-inf")) for i in ids])
+        EndpointPool.of([TrackedEndpoint(record(i), float("-inf")) for i in ids])
         for ids in (ready, resort)
     ]
     return placer.place(notice(), pools[0], 10.0, lambda: pools[1])
@@ -185,8 +185,8 @@
     placer = Placer(
         load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.0
     )
-    pool = EndpointPool.of([EndpointBelief(record("e1"), float("-inf"))])
-    resort = EndpointPool.of([EndpointBelief(record("e3"), float("-inf"))])
+    pool = EndpointPool.of([TrackedEndpoint(record("e1"), float("-inf"))])
+    resort = EndpointPool.of([TrackedEndpoint(record("e3"), float("-inf"))])
     for number in range(6):
         taken = placer.place(notice(), pool, 10.0, lambda: resort)
         load.put(f"r{number}", taken.jobs)
--- a/tests/test_late_metrics.py
+++ b/tests/test_lazy_metrics.py
@@ -4,7 +4,7 @@
 import subprocess
 import sys
 
-from cranberrywick.gateway.late_metrics import MOST_WAITING, LateMetrics
+from cranberrywick.gateway.lazy_metrics import MOST_WAITING, LazyMetrics
 
 
 def test_a_start_does_not_load_the_metrics_library():
@@ -21,7 +21,7 @@
 
 def test_what_was_noted_before_the_first_reading_is_in_it():
     async def main():
-        metrics = LateMetrics("e1")
+        metrics = LazyMetrics("e1")
         metrics.request_ended("grants", "completed", 0.5)
         metrics.first_token("grants", 5000, 0.2)
         metrics.queue_wait("grants", 0.01)
@@ -39,7 +39,7 @@
     """Nobody scrapes a daemon for hours: its memory does not grow with its requests."""
 
     async def main():
-        metrics = LateMetrics("e1")
+        metrics = LazyMetrics("e1")
         for _ in range(MOST_WAITING):
             metrics.queue_wait("grants", 0.01)
         async with asyncio.timeout(30):
--- a/tests/test_limited_choice.py
+++ b/tests/test_limited_choice.py
@@ -6,7 +6,7 @@
 
 from cranberrywick.bench.prompt_engines import PROFILE
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.limited_choice import limited_seconds
 from cranberrywick.routing.load import FleetLoad
@@ -37,7 +37,7 @@
     records = [
         EndpointRecord(i, "notices", "", "fd-a", 8, False, 0.0, 1) for i in waits_by_id
     ]
-    return EndpointPool.of([EndpointBelief(record, -1.0) for record in records])
+    return EndpointPool.of([TrackedEndpoint(record, -1.0) for record in records])
 
 
 def place(wanted, waits_by_id):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -67,14 +67,14 @@
     members = membership("a", "b")
     run(members, 1, 4, answer=lambda probe: probe.daemon_id == "b")
     assert status_of(members, "a") is Status.SUSPECT
-    assert members.take_news(member("a", revision=1), 4.0)
+    assert members.apply_update(member("a", revision=1), 4.0)
     run(members, 4, 30, answer=lambda probe: True)
     assert status_of(members, "a") is Status.ALIVE
 
 
 def test_a_daemon_refutes_its_own_death():
     members = membership("a")
-    assert members.take_news(member("me", status=Status.DEAD), 1.0)
+    assert members.apply_update(member("me", status=Status.DEAD), 1.0)
     assert members.myself == member("me", revision=1)
 
 
@@ -86,7 +86,7 @@
     """
     members = membership("a", "b", "c")
     members.next_probe(1.0)
-    members.take_news(member("b", status=Status.SUSPECT), 1.0)
+    members.apply_update(member("b", status=Status.SUSPECT), 1.0)
     for tick in range(4):
         members.tick(60.0 + tick / 4)
     assert {status_of(members, id) for id in "ac"} == {Status.ALIVE}
@@ -100,10 +100,10 @@
     instead, and refute.
     """
     members = membership("a", "b")
-    assert members.take_news(member("a", status=Status.DEAD), 1.0)
+    assert members.apply_update(member("a", status=Status.DEAD), 1.0)
     assert status_of(members, "a") is Status.SUSPECT
     assert Probe(1, "a") in members.tick(1.25)
-    members.take_news(member("a", status=Status.DEAD), 2.0)
+    members.apply_update(member("a", status=Status.DEAD), 2.0)
     assert status_of(members, "a") is Status.SUSPECT
     members.tick(4.0)
     assert status_of(members, "a") is Status.DEAD
@@ -121,8 +121,8 @@
 def test_late_news_changes_nothing(late):
     members = membership()
     newest = member("a", incarnation=5, revision=2, status=Status.LEAVING)
-    members.take_news(newest, 0.0)
-    assert not members.take_news(late, 1.0)
+    members.apply_update(newest, 0.0)
+    assert not members.apply_update(late, 1.0)
     assert members.members_by_id["a"] == newest
 
 
@@ -130,13 +130,13 @@
     members = membership("a")
     run(members, 1, 10)
     assert status_of(members, "a") is Status.DEAD
-    assert members.take_news(member("a", incarnation=2), 10.0)
+    assert members.apply_update(member("a", incarnation=2), 10.0)
     assert status_of(members, "a") is Status.ALIVE
 
 
 def test_a_leaving_member_that_dies_is_found_dead():
     members = membership("a", "b")
-    members.take_news(member("a", revision=1, status=Status.LEAVING), 0.0)
+    members.apply_update(member("a", revision=1, status=Status.LEAVING), 0.0)
     run(members, 1, 12, answer=lambda probe: probe.daemon_id == "b")
     assert status_of(members, "a") is Status.DEAD
 
@@ -170,8 +170,8 @@
         other = memberships[probe.daemon_id]
         for sender, receiver in ((membership, other), (other, membership)):
             receiver.heard(sender.myself.daemon_id)
-            for news in sender.updates_for(receiver.myself.daemon_id, limit=8):
-                receiver.take_news(news, now)
+            for update in sender.updates_for(receiver.myself.daemon_id, limit=8):
+                receiver.apply_update(update, now)
         membership.answered(probe.round, probe.daemon_id)
 
 
--- a/tests/test_peer_fetches.py
+++ b/tests/test_peer_fetches.py
@@ -4,7 +4,10 @@
 
 from cranberrywick.bench.virtual_time import run_in_virtual_time
 from cranberrywick.errors import PeerMessageInvalid
-from cranberrywick.gateway.messages import EndpointsWanted, OperatorWanted
+from cranberrywick.gateway.messages import (
+    EndpointSnapshotRequest,
+    OperatorSnapshotRequest,
+)
 from cranberrywick.gateway.peer_fetches import MOST_TRIES, PeerFetches
 from cranberrywick.logs import EventLog
 
@@ -19,8 +22,8 @@
         self.answers = answers
         self.asked = []
 
-    async def fetch(self, address, wanted):
-        self.asked.append((address, type(wanted)))
+    async def fetch(self, address, request):
+        self.asked.append((address, type(request)))
         await asyncio.sleep(FETCH_SECONDS)
         return self.answers.get(address)
 
@@ -37,7 +40,9 @@
         link = Link({"free": "reading"})
         peers = iter([["busy"], ["busy"], ["free"]])
         fetches_of(link).begin(
-            OperatorWanted(), lambda: next(peers), lambda *answer: taken.append(answer)
+            OperatorSnapshotRequest(),
+            lambda: next(peers),
+            lambda *answer: taken.append(answer),
         )
         await asyncio.sleep(1.0)
 
@@ -51,12 +56,19 @@
     async def scene():
         link = Link({"a": "reading"})
         fetches = fetches_of(link)
-        for wanted in (OperatorWanted(), OperatorWanted(), EndpointsWanted()):
-            fetches.begin(wanted, lambda: ["a"], lambda *answer: None)
+        for request in (
+            OperatorSnapshotRequest(),
+            OperatorSnapshotRequest(),
+            EndpointSnapshotRequest(),
+        ):
+            fetches.begin(request, lambda: ["a"], lambda *answer: None)
         await asyncio.sleep(FETCH_SECONDS / 2)
-        assert link.asked == [("a", OperatorWanted), ("a", EndpointsWanted)]
+        assert link.asked == [
+            ("a", OperatorSnapshotRequest),
+            ("a", EndpointSnapshotRequest),
+        ]
         await asyncio.sleep(1.0)
-        fetches.begin(OperatorWanted(), lambda: ["a"], lambda *answer: None)
+        fetches.begin(OperatorSnapshotRequest(), lambda: ["a"], lambda *answer: None)
         await asyncio.sleep(1.0)
         assert len(link.asked) == 3
 
@@ -67,15 +79,15 @@
     """Guards against daemons that stay behind for one peer's broken answer."""
     taken = []
 
-    def take(reading, address, asked_at):
-        if reading == "broken":
+    def take(snapshot, address, asked_at):
+        if snapshot == "broken":
             raise PeerMessageInvalid("malformed records")
         taken.append(address)
 
     async def scene():
         link = Link({"a": "broken", "b": "reading"})
         peers = iter([["a"], ["b"]])
-        fetches_of(link).begin(EndpointsWanted(), lambda: next(peers), take)
+        fetches_of(link).begin(EndpointSnapshotRequest(), lambda: next(peers), take)
         await asyncio.sleep(1.0)
 
     run_in_virtual_time(scene())
@@ -85,7 +97,9 @@
 def test_it_is_given_up_after_a_few_tries():
     async def scene():
         link = Link({})
-        fetches_of(link).begin(OperatorWanted(), lambda: ["a"], lambda *answer: None)
+        fetches_of(link).begin(
+            OperatorSnapshotRequest(), lambda: ["a"], lambda *answer: None
+        )
         await asyncio.sleep(10.0)
         assert len(link.asked) == MOST_TRIES
 
@@ -102,7 +116,7 @@
     served = dict.fromkeys(daemons, 0)
 
     class SharedLink:
-        async def fetch(self, address, wanted):
+        async def fetch(self, address, request):
             if served[address] >= MOST_SERVED:
                 await asyncio.sleep(0.002)
                 return None
@@ -120,7 +134,7 @@
             if name in informed:
                 return
             fetches.begin(
-                OperatorWanted(),
+                OperatorSnapshotRequest(),
                 lambda: list(informed),
                 lambda *answer: informed.setdefault(name, loop.time() - started),
             )
--- a/tests/test_fleet_news.py
+++ b/tests/test_peer_updates.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from cranberrywick.bench.simulated_news import NewsDaemon, NewsNetwork
+from cranberrywick.bench.simulated_network import SimulatedDaemon, SimulatedNetwork
 from cranberrywick.bench.virtual_time import run_in_virtual_time
-from cranberrywick.gateway.endpoint_reading import EndpointReading
+from cranberrywick.gateway.endpoint_snapshot import EndpointSnapshot
 from cranberrywick.gateway.messages import (
-    OperatorReading,
+    OperatorSnapshot,
     decode_message,
     encode_message,
 )
@@ -22,18 +22,18 @@
 
 
 async def fleet(size, tickers):
-    network = NewsNetwork()
+    network = SimulatedNetwork()
     daemons = [
-        NewsDaemon(network, f"d{number:03}", DOMAINS[number % 3])
+        SimulatedDaemon(network, f"d{number:03}", DOMAINS[number % 3])
         for number in range(size)
     ]
     addresses = {daemon.name: daemon.address for daemon in daemons}
     for daemon in daemons:
         ticker = Ticker(EventLog())
         tickers.append(ticker)
-        await daemon.news.start(ticker)
+        await daemon.peer_updates.start(ticker)
         others = {n: a for n, a in addresses.items() if n != daemon.name}
-        daemon.news.know(others)
+        daemon.peer_updates.set_registered_addresses(others)
     await asyncio.sleep(4.0)
     return network, daemons
 
@@ -100,7 +100,7 @@
         await asyncio.sleep(6.0)
         now = asyncio.get_running_loop().time()
         for daemon in others:
-            alive = {beat.daemon_id for beat in daemon.news.members.alive(now)}
+            alive = {beat.daemon_id for beat in daemon.peer_updates.members.alive(now)}
             assert alive == {d.name for d in daemons} - {relay.name, daemon.name}
 
     play(40, scene)
@@ -121,7 +121,7 @@
         taken = 0
         for daemon in daemons:
             budget = RetryBudget(ratio=0.2, window_seconds=10.0, slack=100.0)
-            while budget.take("pool", daemon.news.most_members, now):
+            while budget.take("pool", daemon.peer_updates.most_members, now):
                 taken += 1
         assert taken <= 100
 
@@ -156,7 +156,7 @@
             await asyncio.sleep(1.0)
             now = asyncio.get_running_loop().time()
             for daemon in daemons:
-                assert len(daemon.news.members.serving(now)) == len(daemons) - 1
+                assert len(daemon.peer_updates.members.serving(now)) == len(daemons) - 1
 
     play(40, scene)
 
@@ -166,11 +166,13 @@
 
     async def scene(network, daemons):
         daemons[0].leaving = True
-        daemons[0].news.send_heartbeat()
+        daemons[0].peer_updates.send_heartbeat()
         await asyncio.sleep(0.2)
         now = asyncio.get_running_loop().time()
         for daemon in daemons[1:]:
-            serving = {beat.daemon_id for beat in daemon.news.members.serving(now)}
+            serving = {
+                beat.daemon_id for beat in daemon.peer_updates.members.serving(now)
+            }
             assert daemons[0].name not in serving
 
     play(40, scene)
@@ -179,9 +181,11 @@
 def test_a_reading_of_the_endpoints_reaches_every_daemon_once():
     async def scene(network, daemons):
         view = EndpointView(1, {})
-        daemons[7].news.tell_all(EndpointReading.whole(view, view.digest, 0.0))
+        daemons[7].peer_updates.broadcast(
+            EndpointSnapshot.whole(view, view.digest, 0.0)
+        )
         await asyncio.sleep(0.1)
-        assert all(len(d.readings) == 1 for d in daemons if d is not daemons[7])
+        assert all(len(d.snapshots) == 1 for d in daemons if d is not daemons[7])
 
     play(40, scene)
 
@@ -190,16 +194,18 @@
     """A VM is replaced by one at another address, in a running fleet."""
 
     async def scene(network, daemons):
-        newcomer = NewsDaemon(network, "d999", "fd-b")
+        newcomer = SimulatedDaemon(network, "d999", "fd-b")
         ticker = Ticker(EventLog())
-        await newcomer.news.start(ticker)
-        newcomer.news.know({d.name: d.address for d in daemons})
+        await newcomer.peer_updates.start(ticker)
+        newcomer.peer_updates.set_registered_addresses(
+            {d.name: d.address for d in daemons}
+        )
         await asyncio.sleep(2.0)
         ticker.stop()
         now = asyncio.get_running_loop().time()
-        assert len(newcomer.news.members.alive(now)) == len(daemons)
+        assert len(newcomer.peer_updates.members.alive(now)) == len(daemons)
         for daemon in daemons:
-            alive = {beat.daemon_id for beat in daemon.news.members.alive(now)}
+            alive = {beat.daemon_id for beat in daemon.peer_updates.members.alive(now)}
             assert "d999" in alive
 
     play(40, scene)
@@ -215,16 +221,16 @@
     async def scene(network, daemons):
         seeds = daemons[9:12]
         addresses = tuple(f"{seed.name}:9000" for seed in seeds)
-        newcomer = NewsDaemon(network, "d999", "fd-b", addresses)
+        newcomer = SimulatedDaemon(network, "d999", "fd-b", addresses)
         ticker = Ticker(EventLog())
-        await newcomer.news.start(ticker)
+        await newcomer.peer_updates.start(ticker)
         await asyncio.sleep(0.1)
         assert any("d999:7000" in seed.newcomers for seed in seeds)
         await asyncio.sleep(2.0)
         ticker.stop()
         now = asyncio.get_running_loop().time()
-        assert len(newcomer.news.members.alive(now)) == len(daemons)
-        assert all("d999" in d.news.members.members_by_id for d in daemons)
+        assert len(newcomer.peer_updates.members.alive(now)) == len(daemons)
+        assert all("d999" in d.peer_updates.members.members_by_id for d in daemons)
 
     play(40, scene)
 
@@ -264,6 +270,6 @@
 def test_a_configuration_travels_compressed_and_whole():
     document = b'{"routes": [' + b'{"name": "r", "host": "h"},' * 4000 + b"]}"
     view = OperatorView.of(7, document, frozenset({"fd-a"}))
-    data = encode_message(OperatorReading(view, 0.5), 0.0)
+    data = encode_message(OperatorSnapshot(view, 0.5), 0.0)
     assert len(data) < len(document) / 20
     assert decode_message(data, 0.0).message.view == view
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,7 +11,7 @@
 from cranberrywick.platform.documents import decode_configuration
 from cranberrywick.routing.directory import choose_addresses
 from cranberrywick.routing.engine_model import DELAY_PRICE, forecast, prefill_time
-from cranberrywick.routing.freshness import ReadingPolicy
+from cranberrywick.routing.freshness import RefreshPolicy
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.members import Heartbeat, Members, heartbeat_seconds
@@ -97,7 +97,7 @@
         registry = EndpointRegistry()
         registry.apply(view(5, record(draining=True)), 1.0, 1.0)
         registry.apply(view(4, record()), 1.1, 1.2)
-        assert registry.beliefs_by_id["e1"].record.draining
+        assert registry.tracked_by_id["e1"].record.draining
 
     def test_what_is_missing_in_steady_state_is_gone(self):
         registry = EndpointRegistry()
@@ -114,17 +114,17 @@
         registry = EndpointRegistry()
         registry.apply(view(1, record("e1"), record("e2")), 1.0, 1.0)
         registry.apply(view(9), 6.0, 6.0)
-        assert registry.beliefs_by_id.keys() == {"e1", "e2"}
+        assert registry.tracked_by_id.keys() == {"e1", "e2"}
         registry.apply(view(10, record("e1")), 7.0, 7.0)
-        assert registry.beliefs_by_id.keys() == {"e1", "e2"}
+        assert registry.tracked_by_id.keys() == {"e1", "e2"}
         registry.apply(view(11, record("e1")), 8.1, 8.1)
-        assert registry.beliefs_by_id.keys() == {"e1"}
+        assert registry.tracked_by_id.keys() == {"e1"}
 
     def test_one_that_was_leaving_is_not_kept(self):
         registry = EndpointRegistry()
         registry.apply(view(1, record(draining=True)), 1.0, 1.0)
         registry.apply(view(9), 6.0, 6.0)
-        assert not registry.beliefs_by_id
+        assert not registry.tracked_by_id
 
     def test_a_restart_under_the_same_id_is_told(self):
         registry = EndpointRegistry()
@@ -214,7 +214,7 @@
         Whoever reads is lost; then the next, and all others at once. Each reads well
         before two seconds are over.
         """
-        policy = ReadingPolicy(2.0, random.Random(1))
+        policy = RefreshPolicy(2.0, random.Random(1))
         limits = [policy.age_limit(rank) for rank in range(90)]
         assert limits == sorted(limits)
         assert limits[0] < 0.5 and limits[-1] <= 1.2
@@ -224,7 +224,7 @@
 
         The first one's readings are 0.8 s old when they come.
         """
-        policy = ReadingPolicy(3.0, random.Random(1))
+        policy = RefreshPolicy(3.0, random.Random(1))
         for _ in range(20):
             policy.arrived(0.8)
         assert policy.age_limit(0) < 0.5
@@ -240,7 +240,7 @@
         rng = random.Random(2)
         calls = 0
         for _ in range(members):
-            policy, now = ReadingPolicy(2.0, rng), 0.0
+            policy, now = RefreshPolicy(2.0, rng), 0.0
             while now < 20.0:
                 now += policy.failed(members, now)
                 calls += 1
--- a/tests/test_slowdown.py
+++ b/tests/test_slowdown.py
@@ -6,7 +6,7 @@
 
 from cranberrywick.bench.prompt_engines import PROFILE
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.engine_model import forecast
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad
@@ -81,8 +81,8 @@
     One of four engines takes five times as long as declared; it is idle, and the
     others each have a few answers to write.
     """
-    beliefs = [
-        EndpointBelief(EndpointRecord(f"e{n}", "pool", "", "", 8, False, 0.0, 1), -1.0)
+    tracked_endpoints = [
+        TrackedEndpoint(EndpointRecord(f"e{n}", "pool", "", "", 8, False, 0.0, 1), -1.0)
         for n in range(4)
     ]
     load, slowdowns = FleetLoad(), EngineSlowdowns()
@@ -98,7 +98,7 @@
             gap_seconds=0.25,
             failure_domain="",
         )
-        placement = placer.place(demand, EndpointPool.of(beliefs), 0.0)
+        placement = placer.place(demand, EndpointPool.of(tracked_endpoints), 0.0)
         assert placement.endpoint_id != "e0"
         decoding = [j._replace(decoding=True) for j in placement.jobs if j.held_tokens]
         load.put(demand.request_id, decoding)
@@ -116,7 +116,7 @@
     placer = Placer(load, EndpointHealth(), slowdowns, random.Random(1), lambda: 0.0)
     pool = EndpointPool.of(
         [
-            EndpointBelief(
+            TrackedEndpoint(
                 EndpointRecord(name, "calls", "", "", 6, False, 0.0, 1), float("-inf")
             )
             for name in ("slow", "a", "b")
--- a/tests/test_unheard_requests.py
+++ b/tests/test_unheard_requests.py
@@ -8,7 +8,7 @@
 from cranberrywick.bench.prompt_engines import PROFILE
 from cranberrywick.bench.prompts import FLEETS, Experiment, on_time_by_kind
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
@@ -30,10 +30,10 @@
     return [job] * count
 
 
-def beliefs(engines):
+def tracked_endpoints(engines):
     return EndpointPool.of(
         [
-            EndpointBelief(
+            TrackedEndpoint(
                 EndpointRecord(name, "pool", "", "", SLOTS, False, 0.0, 1),
                 float("-inf"),
             )
@@ -42,7 +42,7 @@
     )
 
 
-def placed_at_once(taken_by_engine, daemons, news_seconds, seed):
+def placed_at_once(taken_by_engine, daemons, update_delay_seconds, seed):
     """Let each daemon place a short prompt with the same knowledge."""
     now = 100.0
     load = FleetLoad()
@@ -52,7 +52,7 @@
     for number in range(daemons):
         rng = random.Random(1000 * seed + number)
         placer = Placer(
-            load, EndpointHealth(), EngineSlowdowns(), rng, lambda: news_seconds
+            load, EndpointHealth(), EngineSlowdowns(), rng, lambda: update_delay_seconds
         )
         demand = Demand(
             *(f"r{number}", SERVICE, PromptSize(5_000, 800)),
@@ -61,7 +61,7 @@
             gap_seconds=GAP_SECONDS,
             failure_domain="",
         )
-        placement = placer.place(demand, beliefs(taken_by_engine), now)
+        placement = placer.place(demand, tracked_endpoints(taken_by_engine), now)
         places[placement.endpoint_id] += 1
     return places
 
@@ -75,7 +75,7 @@
     there until an answer ends, longer than its target.
     """
     taken = {f"e{n:03}": 1 if n < 12 else 3 for n in range(135)}
-    places = placed_at_once(taken, daemons=24, news_seconds=0.07, seed=seed)
+    places = placed_at_once(taken, daemons=24, update_delay_seconds=0.07, seed=seed)
     too_many = {
         engine: count
         for engine, count in places.items()
@@ -87,7 +87,7 @@
 def test_the_best_engine_is_taken_where_nothing_is_unheard():
     """One daemon alone, or news that is not old: no lot is drawn."""
     taken = {f"e{n:03}": 2 if n == 7 else 4 for n in range(16)}
-    places = placed_at_once(taken, daemons=1, news_seconds=0.0, seed=1)
+    places = placed_at_once(taken, daemons=1, update_delay_seconds=0.0, seed=1)
     assert places == {"e007": 1}
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -43,7 +43,7 @@
         domains_out=frozenset(),
         store_is_away=False,
         load=FleetLoad(),
-        news=SimpleNamespace(
+        peer_updates=SimpleNamespace(
             job_added=lambda: None,
             limits=SimpleNamespace(wait_seconds=lambda endpoint_id, now: 0.0),
         ),
