--- a/cranberrywick/bench/drawn_deployments.py
+++ b/cranberrywick/bench/drawn_deployments.py
@@ -13,9 +13,9 @@
 
 from cranberrywick.bench.prompt_engines import KINDS, PROFILE, Kind
 from cranberrywick.bench.prompts import Experiment, FleetShape, on_time_by_kind
-from cranberrywick.routing.engine_model import read_seconds
+from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.model import EngineProfile
-from cranberrywick.routing.relays import news_seconds
+from cranberrywick.routing.relays import update_delay_seconds
 
 __all__ = ["DrawnDeployment", "draw_deployment", "worth_on_time"]
 
@@ -40,7 +40,7 @@
     daemons = round(3 * 25 ** rng.random())
     kinds = tuple(_draw_kind(rng, kind, profile) for kind in KINDS)
     work = sum(
-        k.per_second * read_seconds(profile, int(k.prompt_tokens)) for k in kinds
+        k.per_second * prefill_time(profile, int(k.prompt_tokens)) for k in kinds
     )
     arrivals = sum(kind.per_second for kind in kinds)
     tokens = sum(kind.per_second * kind.prompt_tokens for kind in kinds)
@@ -48,7 +48,7 @@
     load = rng.uniform(LEAST_LOAD, MOST_LOAD)
     # Longer prompts than the mean weigh more in the pairs: half as much again.
     rate = load * engines / (1.5 * work)
-    fleet = FleetShape(engines, daemons, news_seconds(daemons) + 0.002, rate)
+    fleet = FleetShape(engines, daemons, update_delay_seconds(daemons) + 0.002, rate)
     return DrawnDeployment(profile, fleet, kinds)
 
 
@@ -58,7 +58,7 @@
         memory_tokens=round(PROFILE.memory_tokens * rng.uniform(0.5, 2.0)),
         stride=rng.choice((10, 25, 50, 80)),
         step_seconds=PROFILE.step_seconds * rng.uniform(0.5, 2.0),
-        read_rate=PROFILE.read_rate * rng.uniform(0.5, 2.0),
+        prefill_rate=PROFILE.prefill_rate * rng.uniform(0.5, 2.0),
         pair_seconds=PROFILE.pair_seconds * rng.uniform(0.5, 2.0),
         chunk_tokens=rng.choice((512, 2048, 8192)),
     )
@@ -67,7 +67,7 @@
 def _draw_kind(rng: random.Random, kind: Kind, profile: EngineProfile) -> Kind:
     """Return a kind with other sizes and limits; none that its engine can't keep."""
     tokens = kind.prompt_tokens * rng.uniform(0.5, 2.0)
-    alone = read_seconds(profile, int(tokens))
+    alone = prefill_time(profile, int(tokens))
     least_gap = 3 * profile.stride * profile.step_seconds
     return kind._replace(
         per_second=kind.per_second * rng.uniform(0.3, 3.0),
--- a/cranberrywick/bench/prompts.py
+++ b/cranberrywick/bench/prompts.py
@@ -28,8 +28,8 @@
     SimulatedPrompt,
 )
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
-from cranberrywick.routing.engine_model import read_seconds
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
+from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import (
@@ -38,8 +38,8 @@
     PromptSize,
     Service,
 )
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Part, Placement, Placer
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 __all__ = [
     "FLEETS",
@@ -60,14 +60,14 @@
 class FleetShape(NamedTuple):
     """How many engines and daemons there are.
 
-    ``news_seconds`` is how late daemons hear of one another's prompts: half a send
-    interval and a hop, and in a fleet with relays their collecting as well. Arrivals
-    come ``rate`` times as often as `KINDS` says.
+    ``update_delay_seconds`` is how late daemons hear of one another's prompts: half a
+    send interval and a hop, and in a fleet with relays their collecting as well.
+    Arrivals come ``rate`` times as often as `KINDS` says.
     """
 
     engines: int
     daemons: int
-    news_seconds: float
+    update_delay_seconds: float
     rate: float
 
 
@@ -106,18 +106,20 @@
 
 
 @register_strategy("priced")
-def _priced(load: FleetLoad, rng: random.Random, news_seconds: float) -> Place:
-    placer = Placer(load, EndpointHealth(), EnginePaces(), rng, lambda: news_seconds)
+def _priced(load: FleetLoad, rng: random.Random, update_delay_seconds: float) -> Place:
+    placer = Placer(
+        load, EndpointHealth(), EngineSlowdowns(), rng, lambda: update_delay_seconds
+    )
     return placer.place
 
 
 @register_strategy("fewest requests")
-def _fewest(load: FleetLoad, rng: random.Random, news_seconds: float) -> Place:
+def _fewest(load: FleetLoad, rng: random.Random, update_delay_seconds: float) -> Place:
     """Place each prompt whole at the engine with the fewest requests."""
 
     def place(demand: Demand, usable: EndpointPool, now: float) -> Placement:
-        def cost(belief: EndpointBelief) -> tuple[int, float]:
-            return len(load.at(belief.record.endpoint_id)), rng.random()
+        def cost(tracked: TrackedEndpoint) -> tuple[int, float]:
+            return len(load.at(tracked.record.endpoint_id)), rng.random()
 
         name = min(usable, key=cost).record.endpoint_id
         job = Job(name, demand.prompt.total, 0.0, now, now)
@@ -143,17 +145,19 @@
         self._profile = profile
         self._rng = random.Random(seed)
         self._kinds = [k._replace(per_second=k.per_second * fleet.rate) for k in kinds]
-        self._news_seconds = fleet.news_seconds
+        self._update_delay_seconds = fleet.update_delay_seconds
         self._engines = {
             f"e{n}": SimulatedEngine(f"e{n}", profile) for n in range(fleet.engines)
         }
         self._usable = EndpointPool.of(
-            [_belief(name, profile.slots) for name in self._engines]
+            [_tracked(name, profile.slots) for name in self._engines]
         )
         self._service = Service("pool", 0.0, 0.0, profile)
         self._loads = [FleetLoad() for _ in range(fleet.daemons)]
         self._places = [
-            STRATEGIES[strategy](load, random.Random(seed + n), fleet.news_seconds)
+            STRATEGIES[strategy](
+                load, random.Random(seed + n), fleet.update_delay_seconds
+            )
             for n, load in enumerate(self._loads)
         ]
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
@@ -211,7 +215,7 @@
         parts = [Part(placement.endpoint_id), *placement.helpers]
         prompt.parts_left = len(parts)
         tokens = prompt.size.prompt_tokens
-        each = read_seconds(self._profile, tokens) / tokens
+        each = prefill_time(self._profile, tokens) / tokens
         for part in parts:
             reading = Reading(
                 prompt,
@@ -231,13 +235,13 @@
             own.put(prompt.name, jobs)
         else:
             own.drop(prompt.name)
-        arrives = now + self._news_seconds
+        arrives = now + self._update_delay_seconds
         self._at(arrives, lambda later: self._tell(prompt, jobs, later))
 
     def _tell(self, prompt: SimulatedPrompt, jobs: Sequence[Job], now: float) -> None:
         for number, load in enumerate(self._loads):
             if number != prompt.daemon:
-                load.hear(prompt.name, jobs, now)
+                load.receive(prompt.name, jobs, now)
 
     def _start(self, engine: SimulatedEngine, now: float) -> None:
         if not engine.busy and (engine.readings or engine.writers or engine.waiting):
@@ -266,8 +270,8 @@
                 is_written = home is engine and bool(wrote)
                 home.writers.append(prompt)
                 jobs = self._loads[prompt.daemon].jobs_of(prompt.name)
-                writing = [j._replace(writing=True) for j in jobs if j.held_tokens]
-                self._put(prompt, writing, now)
+                decoding = [j._replace(decoding=True) for j in jobs if j.held_tokens]
+                self._put(prompt, decoding, now)
                 if is_written:
                     self._event(prompt, now)
                 self._start(home, now)
@@ -286,9 +290,9 @@
             self.results.append(_result(prompt))
 
 
-def _belief(name: str, slots: int) -> EndpointBelief:
+def _tracked(name: str, slots: int) -> TrackedEndpoint:
     record = EndpointRecord(name, "pool", "", "", slots, False, 0.0, 1)
-    return EndpointBelief(record, float("-inf"))
+    return TrackedEndpoint(record, float("-inf"))
 
 
 def _result(prompt: SimulatedPrompt) -> Result:
--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -132,9 +132,9 @@
         self._mark = mark
         self._send_notices()
 
-    def endpoint_left(self, leaving: LeavingEndpoint) -> None:
+    def announce_leaving(self, leaving: LeavingEndpoint) -> None:
         """Pass on that an endpoint takes no new work."""
-        if self._note_leaving(leaving):
+        if self._mark_leaving(leaving):
             self._send_notices()
 
     def leave(self) -> None:
@@ -189,8 +189,8 @@
             round=round,
             version=self._mark.version,
             digest=self._mark.digest,
-            members=tuple(self._membership.news_for(daemon_id, NEWS_IN_PING)),
-            leaving=self._leaving_news(),
+            members=tuple(self._membership.updates_for(daemon_id, NEWS_IN_PING)),
+            leaving=self._leaving_updates(),
         )
 
     def _send(self, daemon_id: str, body: Ping | PingRequest) -> None:
@@ -258,7 +258,7 @@
             self._membership.raise_incarnation(hello.newest_known)
             self._log.warning("incarnation_raised", by=envelope.sender)
             return
-        if self._membership.take_news(hello.member, now):
+        if self._membership.apply_update(hello.member, now):
             # It may not know us yet; our record goes back once, now verified.
             self._send_hello(
                 hello.member.peer_address, envelope.sender, envelope.incarnation
@@ -276,9 +276,9 @@
     def _take_ping(self, envelope: Envelope, ping: Ping, now: float) -> None:
         revision = self._membership.myself.revision
         for member in ping.members:
-            self._membership.take_news(member, now)
+            self._membership.apply_update(member, now)
         is_refuting = self._membership.myself.revision != revision
-        fresh = [leaving for leaving in ping.leaving if self._note_leaving(leaving)]
+        fresh = [leaving for leaving in ping.leaving if self._mark_leaving(leaving)]
         if isinstance(ping, Ack):
             self._take_ack(envelope.sender, ping.round)
         elif not isinstance(ping, Notice):
@@ -303,7 +303,7 @@
         mark = ConfigurationMark(ping.version, ping.digest)
         self._events.newer_configuration(member, mark)
 
-    def _note_leaving(self, leaving: LeavingEndpoint) -> bool:
+    def _mark_leaving(self, leaving: LeavingEndpoint) -> bool:
         known = self._leaving_by_id.get(leaving.endpoint_id, -1)
         if leaving.incarnation <= known:
             return False
@@ -314,20 +314,20 @@
         self._events.endpoint_leaving(leaving)
         return True
 
-    def _leaving_news(self) -> tuple[LeavingEndpoint, ...]:
-        news = []
+    def _leaving_updates(self) -> tuple[LeavingEndpoint, ...]:
+        updates = []
         for endpoint_id in list(self._leaving_repeats_by_id)[:LEAVING_IN_PING]:
-            news.append(
+            updates.append(
                 LeavingEndpoint(endpoint_id, self._leaving_by_id.get(endpoint_id, 0))
             )
             self._leaving_repeats_by_id[endpoint_id] -= 1
             if self._leaving_repeats_by_id[endpoint_id] <= 0:
                 del self._leaving_repeats_by_id[endpoint_id]
-        return tuple(news)
+        return tuple(updates)
 
-    def take_list(self, members: tuple[Member, ...]) -> None:
+    def merge_members(self, members: tuple[Member, ...]) -> None:
         """Take the whole list of a peer."""
-        self._membership.take_list(members, self._clock())
+        self._membership.merge_members(members, self._clock())
         self._publish()
 
     def _publish(self) -> None:
--- a/cranberrywick/gateway/heartbeat_rows.py
+++ b/cranberrywick/gateway/heartbeat_rows.py
@@ -17,9 +17,15 @@
 from cranberrywick.routing.endpoint_limits import LimitReport
 from cranberrywick.routing.load import Job
 from cranberrywick.routing.members import Heartbeat
-from cranberrywick.routing.pace import EnginePace
+from cranberrywick.routing.slowdown import EngineSlowdown
 
-__all__ = ["PassedOn", "RelayNews", "milliseconds", "pack_news", "unpack_news"]
+__all__ = [
+    "HeartbeatBatch",
+    "RelayedHeartbeat",
+    "milliseconds",
+    "pack_heartbeats",
+    "unpack_heartbeats",
+]
 
 # An age that never was counts as the longest.
 LONGEST_MS = 2**31 - 1
@@ -29,22 +35,27 @@
 _Count = Annotated[int, Meta(ge=0)]
 
 
-class PassedOn(NamedTuple):
+class RelayedHeartbeat(NamedTuple):
     """A heartbeat, and when it was heard first."""
 
-    heard_at: float
+    received_at: float
     heartbeat: Heartbeat
 
 
-class RelayNews(NamedTuple):
+class HeartbeatBatch(NamedTuple):
     """Heartbeats, and the relay that sends them on; both empty from their daemon."""
 
+    @property
+    def log_kind(self) -> str:
+        """Stays what log lines have always named."""
+        return "RelayNews"
+
     relay_id: str
     relay_domain: str
-    heartbeats: tuple[PassedOn, ...]
+    heartbeats: tuple[RelayedHeartbeat, ...]
 
     @property
-    def halves(self) -> tuple["RelayNews", ...]:
+    def halves(self) -> tuple["HeartbeatBatch", ...]:
         """Two that together say the same; none where there is nothing to divide."""
         middle = len(self.heartbeats) // 2
         if not middle:
@@ -56,11 +67,11 @@
 class _JobRow(NamedTuple):
     endpoint_id: str
     held_tokens: _Count
-    reading_ms: _Milliseconds
+    prefill_ms: _Milliseconds
     age_ms: _Milliseconds
     first_event_ms: _Milliseconds
     due_ms: _SignedMilliseconds
-    writing: bool
+    decoding: bool
     helper: bool
     joint: bool
     gap_ms: _Milliseconds
@@ -87,18 +98,18 @@
     operator_digest: _Count
     operator_age_ms: _Milliseconds
     jobs: tuple[_JobRow, ...]
-    slow_engines: tuple[EnginePace, ...]
+    slow_engines: tuple[EngineSlowdown, ...]
     limits: tuple[_LimitRow, ...] = ()
 
 
-class _NewsRow(NamedTuple):
+class _BatchRow(NamedTuple):
     relay_id: str
     relay_domain: str
     heartbeats: tuple[_HeartbeatRow, ...]
 
 
 _ENCODER = Encoder()
-_DECODER = Decoder(_NewsRow)
+_DECODER = Decoder(_BatchRow)
 
 
 def milliseconds(seconds: float) -> int:
@@ -110,26 +121,26 @@
     return int(max(-LONGEST_MS, min(seconds * 1000, LONGEST_MS)))
 
 
-def pack_news(news: RelayNews, now: float) -> bytes:
+def pack_heartbeats(batch: HeartbeatBatch, now: float) -> bytes:
     """Return the bytes of heartbeats; ``now`` is the clock of their moments."""
-    rows = tuple(_heartbeat_row(each, now) for each in news.heartbeats)
-    return _ENCODER.encode(_NewsRow(news.relay_id, news.relay_domain, rows))
+    rows = tuple(_heartbeat_row(each, now) for each in batch.heartbeats)
+    return _ENCODER.encode(_BatchRow(batch.relay_id, batch.relay_domain, rows))
 
 
-def unpack_news(data: bytes, now: float) -> RelayNews:
+def unpack_heartbeats(data: bytes, now: float) -> HeartbeatBatch:
     """Return the heartbeats in these bytes.
 
     Raises ValueError where they are not rows of these types and bounds.
     """
     relay_id, relay_domain, rows = _DECODER.decode(data)
     heartbeats = tuple(_passed_on(row, now) for row in rows)
-    return RelayNews(relay_id, relay_domain, heartbeats)
+    return HeartbeatBatch(relay_id, relay_domain, heartbeats)
 
 
-def _heartbeat_row(news: PassedOn, now: float) -> _HeartbeatRow:
-    beat = news.heartbeat
+def _heartbeat_row(relayed: RelayedHeartbeat, now: float) -> _HeartbeatRow:
+    beat = relayed.heartbeat
     return _HeartbeatRow(
-        milliseconds(now - news.heard_at),
+        milliseconds(now - relayed.received_at),
         beat.daemon_id,
         beat.incarnation,
         beat.sequence,
@@ -151,11 +162,11 @@
         _JobRow(
             job.endpoint_id,
             job.held_tokens,
-            milliseconds(job.reading_seconds),
+            milliseconds(job.prefill_seconds),
             milliseconds(now - job.started_at),
             milliseconds(job.first_event_at - now),
             _signed_milliseconds(job.due_at - now),
-            job.writing,
+            job.decoding,
             job.helper,
             job.joint,
             milliseconds(job.gap_seconds),
@@ -165,7 +176,7 @@
     )
 
 
-def _passed_on(row: _HeartbeatRow, now: float) -> PassedOn:
+def _passed_on(row: _HeartbeatRow, now: float) -> RelayedHeartbeat:
     age_ms, *facts, operator_age_ms, jobs, slow_engines, limits = row
     heartbeat = Heartbeat(
         *facts,
@@ -174,7 +185,7 @@
         slow_engines,
         _limits(limits, now),
     )
-    return PassedOn(now - age_ms / 1000, heartbeat)
+    return RelayedHeartbeat(now - age_ms / 1000, heartbeat)
 
 
 def _jobs(rows: Sequence[_JobRow], now: float) -> tuple[Job, ...]:
@@ -182,11 +193,11 @@
         Job(
             endpoint_id,
             held_tokens,
-            reading / 1000,
+            prefill / 1000,
             now - age / 1000,
             now + first_event / 1000,
             now + due / 1000,
-            writing,
+            decoding,
             helper,
             joint,
             gap / 1000,
@@ -195,11 +206,11 @@
         for (
             endpoint_id,
             held_tokens,
-            reading,
+            prefill,
             age,
             first_event,
             due,
-            writing,
+            decoding,
             helper,
             joint,
             gap,
--- a/cranberrywick/gateway/observations.py
+++ b/cranberrywick/gateway/observations.py
@@ -5,11 +5,11 @@
 from math import isfinite
 
 from cranberrywick.gateway.exchange import Exchange
-from cranberrywick.gateway.late_metrics import LateMetrics
+from cranberrywick.gateway.lazy_metrics import LazyMetrics
 from cranberrywick.gateway.state import FleetState
 from cranberrywick.logs import EventLog
 from cranberrywick.platform.headers import ResponseMeta
-from cranberrywick.routing.pace import StreamPauses, call_pace
+from cranberrywick.routing.slowdown import StreamPauses, call_slowdown
 
 __all__ = ["EndpointObservations"]
 
@@ -17,7 +17,7 @@
 class EndpointObservations:
     """Takes what attempts show, and tells it the other daemons."""
 
-    def __init__(self, state: FleetState, metrics: LateMetrics, log: EventLog):
+    def __init__(self, state: FleetState, metrics: LazyMetrics, log: EventLog):
         self._state = state
         self._metrics = metrics
         self._log = log
@@ -29,13 +29,13 @@
             return
         if isfinite(meta.rate_limit):
             self._metrics.limit_named(exchange.route.name)
-        news = self._state.news
-        change = news.limits.observe(
+        peer_updates = self._state.peer_updates
+        change = peer_updates.limits.observe(
             exchange.endpoint_id, meta.rate_limit, self._loop.time()
         )
         if change is None:
             return
-        news.limit_changed()
+        peer_updates.limit_changed()
         self._log.warning(
             "endpoint_limit_changed",
             **change.log_fields,
@@ -49,23 +49,27 @@
         declared = profile.stride * profile.step_seconds if profile else 0.0
         pauses = StreamPauses(declared)
 
-        def note(endpoint_id: str, seconds: float) -> None:
+        def record(endpoint_id: str, seconds: float) -> None:
             # What the engine is known to read meanwhile says nothing of its pace.
-            pace = pauses.note(seconds - self._state.load.reading_at(endpoint_id))
-            if pace is not None:
-                self._note_pace(exchange, endpoint_id, pace)
+            slowdown = pauses.record(
+                seconds - self._state.load.prefill_seconds_at(endpoint_id)
+            )
+            if slowdown is not None:
+                self._record_slowdown(exchange, endpoint_id, slowdown)
 
-        return note
+        return record
 
-    def _note_pace(self, exchange: Exchange, endpoint_id: str, pace: float) -> None:
-        news = self._state.news
-        if not news.paces.observe(endpoint_id, pace, self._loop.time()):
+    def _record_slowdown(
+        self, exchange: Exchange, endpoint_id: str, slowdown: float
+    ) -> None:
+        peer_updates = self._state.peer_updates
+        if not peer_updates.slowdowns.observe(endpoint_id, slowdown, self._loop.time()):
             return
-        news.pace_changed()
+        peer_updates.slowdown_changed()
         self._log.warning(
             "endpoint_pace_changed",
             endpoint=endpoint_id,
-            pace=pace,
+            pace=slowdown,
             request_id=exchange.meta.request_id,
         )
 
@@ -74,8 +78,8 @@
         if exchange.is_stream:
             return
         seconds = self._loop.time() - exchange.sent_at
-        pace = call_pace(seconds, exchange.route.target_seconds)
+        slowdown = call_slowdown(seconds, exchange.route.target_seconds)
         # One within its target says nothing: calls differ, and a short one is quick at
         # a slow endpoint too.
-        if pace > 1:
-            self._note_pace(exchange, exchange.endpoint_id, pace)
+        if slowdown > 1:
+            self._record_slowdown(exchange, exchange.endpoint_id, slowdown)
--- a/cranberrywick/gateway/permits.py
+++ b/cranberrywick/gateway/permits.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from cranberrywick.gateway.messages import Message, PermitRequest, PermitResponse
-from cranberrywick.gateway.rare_log import RareLog
+from cranberrywick.gateway.throttled_log import ThrottledLog
 from cranberrywick.logs import EventLog
 from cranberrywick.routing.fleet_limits import FleetLimits, Permit
 
@@ -56,7 +56,7 @@
         self._send = send
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._unanswered = RareLog(log, self._loop.time)
+        self._unanswered = ThrottledLog(log, self._loop.time)
         # Numbers of an earlier process of this address must not be taken for ours.
         self._number = random.getrandbits(48)
         self._pending_by_number: dict[int, asyncio.Future[Permit]] = {}
@@ -77,7 +77,7 @@
     def answer(self, request: PermitRequest, source: str) -> None:
         """Answer a daemon that asks this one as a steward."""
         now = self._loop.time()
-        change = self._limits.hear(request.limit)
+        change = self._limits.receive(request.limit)
         if change is not None:
             self._log.info("endpoint_limit_changed", **change.log_fields, peer=source)
         permit = self._limits.grant(request.limit.endpoint_id, request.terms, now)
@@ -95,7 +95,7 @@
         terms = self._limits.terms(endpoint_id, longest_wait, now)
         if steward is None:
             permit = self._limits.grant(endpoint_id, terms, now)
-            self._limits.note_permit(endpoint_id, permit, now)
+            self._limits.record_permit(endpoint_id, permit, now)
             return self._daemon_id, permit
         self._number += 1
         limit = self._limits.report(endpoint_id)
@@ -103,12 +103,12 @@
         permit = await self._ask_peer(request, steward.peer_address)
         now = self._loop.time()
         if permit is None:
-            self._limits.note_unanswered(endpoint_id, now)
+            self._limits.record_unanswered(endpoint_id, now)
             self._unanswered.warning(
                 "permit_unanswered", endpoint=endpoint_id, steward=steward.daemon_id
             )
             return steward.daemon_id, Permit(False, 0.0, 0.0)
-        self._limits.note_permit(endpoint_id, permit, now)
+        self._limits.record_permit(endpoint_id, permit, now)
         return steward.daemon_id, permit
 
     async def _ask_peer(self, request: PermitRequest, address: str) -> Permit | None:
--- a/tests/test_endpoint_index.py
+++ b/tests/test_endpoint_index.py
@@ -8,7 +8,7 @@
 from cranberrywick.bench.prompt_engines import PROFILE
 from cranberrywick.routing.candidates import SAMPLE_SIZE
 from cranberrywick.routing.demand import Demand, fits_fleet
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import (
@@ -18,9 +18,9 @@
     PromptSize,
     Service,
 )
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.registry import EndpointRegistry
+from cranberrywick.routing.slowdown import EngineSlowdowns
 from cranberrywick.routing.usable import is_usable
 
 IDS = ("e1", "e2", "e3", "e4", "e5")
@@ -72,10 +72,12 @@
 
     @invariant()
     def pools_hold_what_is_believed(self):
-        beliefs = self.registry.beliefs_by_id.values()
+        tracked_endpoints = self.registry.tracked_by_id.values()
         for service in SERVICES:
             for out in (frozenset(), frozenset({"fd-a"})):
-                of_service = {b for b in beliefs if b.record.service == service}
+                of_service = {
+                    b for b in tracked_endpoints if b.record.service == service
+                }
                 usable = {b for b in of_service if is_usable(b, out)}
                 pool = self.registry.index.ready(service, out)
                 assert len(pool) == len(usable)
@@ -116,7 +118,7 @@
     pool = registry.index.ready("drafting", frozenset())
     assert fits_fleet(wanted, pool)
     placer = Placer(
-        load, EndpointHealth(), EnginePaces(), random.Random(1), lambda: 0.06
+        load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.06
     )
     return placer.place(wanted, pool, 1.0)
 
@@ -138,8 +140,8 @@
     """Guards against requests that wait at full engines while half of them are idle."""
     load = FleetLoad()
     for number in range(0, 3000, 2):
-        job = Job(f"i-{number:04}", 5_000, 0.03, 0.5, 0.6, writing=True)
-        load.hear(f"of-{number}", [job] * 8, 1.0)
+        job = Job(f"i-{number:04}", 5_000, 0.03, 0.5, 0.6, decoding=True)
+        load.receive(f"of-{number}", [job] * 8, 1.0)
     assert place(load, demand()) is not None
 
 
@@ -148,13 +150,13 @@
     registry = EndpointRegistry()
     first = thousands()
     registry.apply(first, 1.0, 1.0)
-    before = dict(registry.beliefs_by_id)
+    before = dict(registry.tracked_by_id)
     delta = EndpointDelta((record("i-0007", draining=True),), ())
     second = first.with_delta(delta, 2)
     assert first.digest_with_delta(delta, first.digest) == second.digest
     registry.apply_delta(second, delta, 1.5, 1.5)
     changed = {
-        i for i, belief in registry.beliefs_by_id.items() if belief is not before[i]
+        i for i, tracked in registry.tracked_by_id.items() if tracked is not before[i]
     }
     assert changed == {"i-0007"}
 
@@ -167,5 +169,5 @@
 
 
 def test_a_pool_can_be_made_of_beliefs():
-    belief = EndpointBelief(record("e1"), float("-inf"))
-    assert list(EndpointPool.of([belief])) == [belief]
+    tracked = TrackedEndpoint(record("e1"), float("-inf"))
+    assert list(EndpointPool.of([tracked])) == [tracked]
--- a/tests/test_last_resort.py
+++ b/tests/test_last_resort.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from cranberrywick.gateway.operator_knowledge import OperatorKnowledge
+from cranberrywick.gateway.operator_tracker import OperatorTracker
 from cranberrywick.logs import EventLog
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import (
@@ -18,10 +18,10 @@
     OperatorView,
     Service,
 )
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.registry import EndpointRegistry
-from cranberrywick.routing.usable import Restrictions, last_moment, last_resort
+from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.usable import Restrictions, last_resort, usable_until
 
 DRAIN_SECONDS = 3.0
 EVACUATE_SECONDS = 5.0
@@ -50,7 +50,7 @@
         self.left_at = {}
         self.out_at = {}
         self.registry = EndpointRegistry()
-        self.operator = OperatorKnowledge(lambda document: None, EventLog())
+        self.operator = OperatorTracker(lambda document: None, EventLog())
         self.read_endpoints(0.0)
         self.read_operator()
 
@@ -85,7 +85,7 @@
     def read_operator(self):
         self.now += 0.001
         view = OperatorView.of(self.revision, b"", frozenset(self.out_at))
-        self.operator.take(view, self.now - 0.001, "store")
+        self.operator.apply(view, self.now - 0.001, "store")
 
     @rule()
     def hear_that_nothing_changed(self):
@@ -99,8 +99,8 @@
             self.operator.out_since_by_domain, DRAIN_SECONDS, EVACUATE_SECONDS
         )
         pool = last_resort(self.registry.index, "notices", restrictions, self.now)
-        for belief in pool:
-            believed = belief.record
+        for tracked in pool:
+            believed = tracked.record
             endpoint_id = believed.endpoint_id
             if believed.draining and believed.born == self.records[endpoint_id].born:
                 assert self.now < self.left_at[endpoint_id] + DRAIN_SECONDS
@@ -114,7 +114,7 @@
 
 
 def leaving(ready_until_known):
-    return EndpointBelief(
+    return TrackedEndpoint(
         record("e1", draining=True), float("-inf"), None, ready_until_known
     )
 
@@ -125,15 +125,15 @@
 
 def test_one_that_was_never_seen_ready_is_no_last_resort():
     """Guards against sends to an endpoint whose leaving has an unknown age."""
-    assert last_moment(leaving(float("-inf")), restrictions()) == float("-inf")
+    assert usable_until(leaving(float("-inf")), restrictions()) == float("-inf")
 
 
 def test_the_earlier_of_two_bounds_counts():
     """Guards against a domain's longer bound that hides an endpoint's own leaving."""
-    belief = leaving(10.0)
+    tracked = leaving(10.0)
     domain = {"fd-a": 4.0}
-    alone = last_moment(belief, restrictions())
-    assert last_moment(belief, restrictions(**domain)) < alone < 13.0
+    alone = usable_until(tracked, restrictions())
+    assert usable_until(tracked, restrictions(**domain)) < alone < 13.0
 
 
 def notice():
@@ -149,9 +149,11 @@
 
 
 def placed(health, ready, resort):
-    placer = Placer(FleetLoad(), health, EnginePaces(), random.Random(1), lambda: 0.0)
+    placer = Placer(
+        FleetLoad(), health, EngineSlowdowns(), random.Random(1), lambda: 0.0
+    )
     pools = [
-        EndpointPool.of([EndpointBelief(record(i), float("-inf")) for i in ids])
+        EndpointPool.of([TrackedEndpoint(record(i), float("-inf")) for i in ids])
         for ids in (ready, resort)
     ]
     return placer.place(notice(), pools[0], 10.0, lambda: pools[1])
@@ -181,10 +183,10 @@
     """Guards against new work at leaving endpoints in a mere burst."""
     load = FleetLoad()
     placer = Placer(
-        load, EndpointHealth(), EnginePaces(), random.Random(1), lambda: 0.0
+        load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.0
     )
-    pool = EndpointPool.of([EndpointBelief(record("e1"), float("-inf"))])
-    resort = EndpointPool.of([EndpointBelief(record("e3"), float("-inf"))])
+    pool = EndpointPool.of([TrackedEndpoint(record("e1"), float("-inf"))])
+    resort = EndpointPool.of([TrackedEndpoint(record("e3"), float("-inf"))])
     for number in range(6):
         taken = placer.place(notice(), pool, 10.0, lambda: resort)
         load.put(f"r{number}", taken.jobs)
--- a/tests/test_limited_choice.py
+++ b/tests/test_limited_choice.py
@@ -6,14 +6,14 @@
 
 from cranberrywick.bench.prompt_engines import PROFILE
 from cranberrywick.routing.demand import Demand
-from cranberrywick.routing.endpoint_index import EndpointBelief, EndpointPool
+from cranberrywick.routing.endpoint_index import EndpointPool, TrackedEndpoint
 from cranberrywick.routing.health import EndpointHealth
 from cranberrywick.routing.limited_choice import limited_seconds
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
-from cranberrywick.routing.pace import EnginePaces
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.retry_after import LimitedReturns
+from cranberrywick.routing.slowdown import EngineSlowdowns
 
 CALLS = Service("notices", 0.0, 0.0, None)
 PROMPTS = Service("drafting", 0.0, 0.0, PROFILE)
@@ -37,14 +37,14 @@
     records = [
         EndpointRecord(i, "notices", "", "fd-a", 8, False, 0.0, 1) for i in waits_by_id
     ]
-    return EndpointPool.of([EndpointBelief(record, -1.0) for record in records])
+    return EndpointPool.of([TrackedEndpoint(record, -1.0) for record in records])
 
 
 def place(wanted, waits_by_id):
     placer = Placer(
         FleetLoad(),
         EndpointHealth(),
-        EnginePaces(),
+        EngineSlowdowns(),
         random.Random(1),
         lambda: 0.0,
         lambda endpoint_id, now: waits_by_id[endpoint_id],
