--- a/cranberrywick/decisions/admission.py
+++ b/cranberrywick/decisions/admission.py
@@ -28,24 +28,24 @@
 
 from cranberrywick.decisions.isolation import BANDS
 
-__all__ = ["Admission", "Endpoints", "WaitKind", "wait_kind"]
+__all__ = ["Admission", "EndpointCounts", "WaitKind", "wait_kind"]
 
-SLACK_USED = 0.8
+USABLE_SLACK_SHARE = 0.8
 CORRECTION_RATE = 0.1
-LARGEST_CORRECTION = 4.0
+MAX_CORRECTION_FACTOR = 4.0
 # Waits shorter than this say nothing about the drain rate.
-LEAST_WAIT_SECONDS = 0.05
+MIN_WAIT_SECONDS = 0.05
 DRAIN_WINDOW_SECONDS = 10.0
 REFUSED_WINDOW_SECONDS = 10.0
-LEAST_DRAIN_SHARE = 0.1
-LEAST_DRAIN_RATE = 0.1
+MIN_DRAIN_SHARE = 0.1
+MIN_DRAIN_RATE = 0.1
 ROUNDING_SECONDS = 1e-6
-LEAST_RETRY_SECONDS = 0.5
-MOST_RETRY_SECONDS = 60.0
-OVERLOAD_LASTS_SECONDS = 5.0
+MIN_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 60.0
+OVERLOAD_HOLD_SECONDS = 5.0
 
 
-class Endpoints(NamedTuple):
+class EndpointCounts(NamedTuple):
     """How many endpoints drain the queue: all, and those that take one band.
 
     With several daemons this one's part of them, so not whole numbers.
@@ -75,7 +75,9 @@
     return WaitKind(band, ceil(log2(max(slack, 1.0))))
 
 
-def _ahead_of(kind: WaitKind, seconds_by_kind: dict[WaitKind, float]) -> float:
+def _seconds_at_or_ahead(
+    kind: WaitKind, seconds_by_kind: dict[WaitKind, float]
+) -> float:
     return sum(
         seconds
         for other, seconds in seconds_by_kind.items()
@@ -91,17 +93,19 @@
         self._queued_by_organisation: dict[str, dict[WaitKind, float]] = {}
         self._served_by_band = [0.0] * BANDS
         self._log_correction_by_kind: dict[WaitKind, float] = {}
-        self._served_at = 0.0
+        self._served_updated_at = 0.0
         self._refused_seconds = 0.0
-        self._refused_at = 0.0
+        self._refused_updated_at = 0.0
         self._overloaded_at = float("-inf")
 
-    def queued(self, organisation: str, kind: WaitKind, seconds: float) -> None:
+    def record_queued(self, organisation: str, kind: WaitKind, seconds: float) -> None:
         """Count work that joins the queue, in seconds of engine time."""
         by_kind = self._queued_by_organisation.setdefault(organisation, {})
         by_kind[kind] = by_kind.get(kind, 0.0) + seconds
 
-    def left(self, organisation: str, kind: WaitKind, seconds: float) -> None:
+    def record_dequeued(
+        self, organisation: str, kind: WaitKind, seconds: float
+    ) -> None:
         """Count work that leaves the queue, served or not."""
         by_kind = self._queued_by_organisation[organisation]
         by_kind[kind] -= seconds
@@ -110,17 +114,17 @@
         if not by_kind:
             del self._queued_by_organisation[organisation]
 
-    def served(self, band: int, seconds: float, now: float) -> None:
+    def record_served(self, band: int, seconds: float, now: float) -> None:
         """Count work that is sent to an endpoint."""
         self._decay_served(now)
         self._served_by_band[band] += seconds
 
-    def waited(self, kind: WaitKind, predicted: float, actual: float) -> None:
+    def record_wait(self, kind: WaitKind, predicted: float, actual: float) -> None:
         """Correct the next predictions by a wait that came true."""
-        if max(predicted, actual) < LEAST_WAIT_SECONDS:
+        if max(predicted, actual) < MIN_WAIT_SECONDS:
             return
-        ratio = max(actual, LEAST_WAIT_SECONDS) / max(predicted, LEAST_WAIT_SECONDS)
-        limit = log(LARGEST_CORRECTION)
+        ratio = max(actual, MIN_WAIT_SECONDS) / max(predicted, MIN_WAIT_SECONDS)
+        limit = log(MAX_CORRECTION_FACTOR)
         step = max(-limit, min(limit, log(ratio)))
         corrected = self._log_correction_by_kind.get(kind, 0.0) + CORRECTION_RATE * step
         self._log_correction_by_kind[kind] = max(-limit, min(limit, corrected))
@@ -130,31 +134,33 @@
         organisation: str,
         kind: WaitKind,
         seconds: float,
-        endpoints: Endpoints,
+        endpoints: EndpointCounts,
         now: float,
     ) -> float:
         """Return the seconds that new work would wait before it is sent."""
-        ahead = self._ahead(organisation, kind, seconds)
+        ahead = self._engine_seconds_ahead(organisation, kind, seconds)
         correction = exp(self._log_correction_by_kind.get(kind, 0.0))
         return ahead / self._drain_rate(kind.band, endpoints, now) * correction
 
-    def _ahead(self, organisation: str, kind: WaitKind, seconds: float) -> float:
+    def _engine_seconds_ahead(
+        self, organisation: str, kind: WaitKind, seconds: float
+    ) -> float:
         """Return the engine time that fair order serves before new work.
 
         Until an organisation's own work is done, each other one is served at most
         as much.
         """
         own_by_kind = self._queued_by_organisation.get(organisation, {})
-        own = _ahead_of(kind, own_by_kind)
+        own = _seconds_at_or_ahead(kind, own_by_kind)
         most = own + seconds
         others = sum(
-            min(most, _ahead_of(kind, by_kind))
+            min(most, _seconds_at_or_ahead(kind, by_kind))
             for name, by_kind in self._queued_by_organisation.items()
             if name != organisation
         )
         return own + others
 
-    def _drain_rate(self, band: int, endpoints: Endpoints, now: float) -> float:
+    def _drain_rate(self, band: int, endpoints: EndpointCounts, now: float) -> float:
         """Return the engine seconds a second that are left for this band.
 
         Shorter bands go first, so what they have been taking is not available.
@@ -162,33 +168,33 @@
         self._decay_served(now)
         shorter = sum(self._served_by_band[:band]) / DRAIN_WINDOW_SECONDS
         left = min(endpoints.for_band, endpoints.total - shorter)
-        return max(left, endpoints.for_band * LEAST_DRAIN_SHARE, LEAST_DRAIN_RATE)
+        return max(left, endpoints.for_band * MIN_DRAIN_SHARE, MIN_DRAIN_RATE)
 
     def _decay_served(self, now: float) -> None:
-        factor = exp(-(now - self._served_at) / DRAIN_WINDOW_SECONDS)
+        factor = exp(-(now - self._served_updated_at) / DRAIN_WINDOW_SECONDS)
         self._served_by_band = [served * factor for served in self._served_by_band]
-        self._served_at = now
+        self._served_updated_at = now
 
     def allows(self, wait: float, slack: float) -> bool:
         """Whether work with ``slack`` seconds to spare may wait this long."""
-        return wait <= LEAST_WAIT_SECONDS or wait <= slack * SLACK_USED
+        return wait <= MIN_WAIT_SECONDS or wait <= slack * USABLE_SLACK_SHARE
 
     def refuse(
         self, wait: float, slack: float, seconds: float, endpoints: float, now: float
     ) -> float:
         """Count a refusal and return the seconds after which to come back."""
         self._overloaded_at = now
-        factor = exp(-(now - self._refused_at) / REFUSED_WINDOW_SECONDS)
+        factor = exp(-(now - self._refused_updated_at) / REFUSED_WINDOW_SECONDS)
         self._refused_seconds = self._refused_seconds * factor + seconds
-        self._refused_at = now
-        drained = max(LEAST_RETRY_SECONDS, wait - slack * SLACK_USED)
+        self._refused_updated_at = now
+        drained = max(MIN_RETRY_SECONDS, wait - slack * USABLE_SLACK_SHARE)
         spread = max(
-            LEAST_RETRY_SECONDS,
-            self._refused_seconds / max(LEAST_DRAIN_RATE, endpoints),
+            MIN_RETRY_SECONDS,
+            self._refused_seconds / max(MIN_DRAIN_RATE, endpoints),
         )
         wanted = drained + spread * self._random.random()
-        return min(MOST_RETRY_SECONDS * (0.5 + self._random.random()), wanted)
+        return min(MAX_RETRY_SECONDS * (0.5 + self._random.random()), wanted)
 
     def is_overloaded(self, now: float) -> bool:
         """Whether work was refused for want of capacity a moment ago."""
-        return now - self._overloaded_at < OVERLOAD_LASTS_SECONDS
+        return now - self._overloaded_at < OVERLOAD_HOLD_SECONDS
--- a/cranberrywick/decisions/choosing.py
+++ b/cranberrywick/decisions/choosing.py
@@ -17,10 +17,10 @@
 __all__ = ["Chooser", "Lane", "needs_gang"]
 
 # Memory for a gang frees in seconds; planning one takes about a millisecond.
-GANG_TRY_SECONDS = 0.1
-# Of an endpoint kept for shorter prompts a gang leaves this part of the memory, or
+GANG_PLAN_INTERVAL_SECONDS = 0.1
+# Of an endpoint reserved for shorter prompts a gang leaves this part of the memory, or
 # they would find endpoints free that cannot hold them.
-SHORT_MEMORY_SHARE = 0.5
+RESERVED_MEMORY_SHARE = 0.5
 # A probe may take this many times longer than expected and still be in time.
 PROBE_SLACK_RATIO = 10.0
 
@@ -52,7 +52,7 @@
         self._slow = slow
         self._pools = pools
         self._random = random
-        self._gang_tried_at = float("-inf")
+        self._gang_planned_at = float("-inf")
 
     def choose(
         self, queued: QueuedWork, attempts: Attempts, now: float
@@ -70,14 +70,14 @@
         """Return an ejected endpoint to try with this short request, if one is due."""
         if queued.lane.band > 0 or not self._slow.ejected:
             return None
-        spare = queued.latest_start - now
-        if spare < PROBE_SLACK_RATIO * queued.cost_seconds:
+        slack = queued.latest_start - now
+        if slack < PROBE_SLACK_RATIO * queued.cost_seconds:
             return None
         endpoint_id = self._slow.probe_due(now)
         state = pool.states_by_id.get(endpoint_id)
         if state is None or not self._fleet.is_open(state, now):
             return None
-        self._slow.probe_sent(endpoint_id, queued.work.work_id, now)
+        self._slow.record_probe_sent(endpoint_id, queued.work.work_id, now)
         return pool.predict(queued.work, state, now)
 
     def _choose_open(
@@ -91,13 +91,13 @@
                 return False
             return _has_memory(state, work, now)
 
-        def allows_elsewhere(state: EndpointState) -> bool:
+        def allows_other_domain(state: EndpointState) -> bool:
             domain = state.endpoint.failure_domain
             return domain not in attempts.failed_domains and allows(state)
 
         candidates = pool.candidates(work, queued.lane.band, self._random)
         if attempts.count:
-            choice = pool.best(work, candidates, now, allows_elsewhere)
+            choice = pool.best(work, candidates, now, allows_other_domain)
             if choice is not None:
                 return choice
         return pool.best(work, candidates, now, allows)
@@ -107,21 +107,21 @@
 
         This looks at every endpoint, so it is not done at every event.
         """
-        if now < self._gang_tried_at + GANG_TRY_SECONDS:
+        if now < self._gang_planned_at + GANG_PLAN_INTERVAL_SECONDS:
             return None
-        self._gang_tried_at = now
+        self._gang_planned_at = now
 
         def free_tokens(state: EndpointState) -> int:
-            kept = 0
-            if not pool.takes(state.endpoint_id, BANDS - 1):
-                kept = int(state.endpoint.cache_tokens * SHORT_MEMORY_SHARE)
-            return state.cache_tokens_free(now) - kept
+            reserved = 0
+            if not pool.accepts(state.endpoint_id, BANDS - 1):
+                reserved = int(state.endpoint.cache_tokens * RESERVED_MEMORY_SHARE)
+            return state.cache_tokens_free(now) - reserved
 
         plan = self._plan_gang(work, pool, free_tokens)
         if plan is None:
             return None
         leader = pool.states_by_id[plan.leader.endpoint_id]
-        is_long = pool.takes(leader.endpoint_id, BANDS - 1)
+        is_long = pool.accepts(leader.endpoint_id, BANDS - 1)
         if not is_long or not self._pools.is_open(leader, now):
             return None
         return pool.predict(work, leader, now)._replace(gang=plan)
--- a/cranberrywick/decisions/cost.py
+++ b/cranberrywick/decisions/cost.py
@@ -11,7 +11,7 @@
 depends on length (attention grows with the square, small prompts pay a fixed
 price, streams slow the prefill), so the ratio of observed to nominal is learned
 for each doubling of prompt length, as a moving average of its logarithm. One
-outcome moves it by at most a tenth of `LARGEST_LOG_RATIO_STEP`; ten seconds of
+outcome moves it by at most a tenth of `MAX_LOG_RATIO_STEP`; ten seconds of
 outliers from one endpoint therefore shift the estimate of a length by less than a
 doubling, and the slow endpoint module looks at them before they get here.
 """
@@ -28,9 +28,9 @@
 # What one outcome weighs in a moving average.
 LEARNING_RATE = 0.1
 # A surprise larger than this (e**2, about sevenfold) is taken as this large.
-LARGEST_LOG_RATIO_STEP = 2.0
+MAX_LOG_RATIO_STEP = 2.0
 # Where an organisation's answers have not been seen: a quarter of the most.
-FIRST_OUTPUT_SHARE = 0.25
+DEFAULT_OUTPUT_SHARE = 0.25
 # Fixed price of a request, for headers and the first iteration.
 OVERHEAD_SECONDS = 0.005
 
@@ -80,7 +80,7 @@
         source = (work.organisation, work.class_name)
         known = self._output_by_source.get(source)
         if known is None:
-            known = work.max_output_tokens * FIRST_OUTPUT_SHARE
+            known = work.max_output_tokens * DEFAULT_OUTPUT_SHARE
         return min(known, work.max_output_tokens)
 
     def observe_prefill(
@@ -125,4 +125,4 @@
 
 def _bounded_log(ratio: float) -> float:
     step = log(max(ratio, 1e-6))
-    return max(-LARGEST_LOG_RATIO_STEP, min(LARGEST_LOG_RATIO_STEP, step))
+    return max(-MAX_LOG_RATIO_STEP, min(MAX_LOG_RATIO_STEP, step))
--- a/cranberrywick/decisions/fair_queue.py
+++ b/cranberrywick/decisions/fair_queue.py
@@ -34,8 +34,8 @@
 # Engine time by which an organisation may be ahead of the others that wait.
 ALLOWANCE_SECONDS = 2.0
 # Rebuild a heap when stale entries outnumber live ones by this much.
-STALE_FACTOR = 4
-STALE_ENTRIES_KEPT = 64
+MAX_STALE_RATIO = 4
+MIN_STALE_ENTRIES = 64
 
 
 class QueuedWork(NamedTuple):
@@ -75,14 +75,14 @@
     """A fair queue of its own: organisations, by tag and by slack of their heads."""
 
     def __init__(self) -> None:
-        self.number = 0
+        self.size = 0
         self.waiting_by_organisation: dict[str, _Waiting] = {}
         # Tags outlive the work, until nobody waits in the lane.
         self.tags_by_organisation: dict[str, float] = {}
         # All that wait; those of them within the allowance; the rest of them.
-        self.tags: list[_Entry] = []
-        self.within: list[_Entry] = []
-        self.ahead: list[_Entry] = []
+        self.by_tag: list[_Entry] = []
+        self.eligible: list[_Entry] = []
+        self.ineligible: list[_Entry] = []
         self._order = count()
 
     def push(self, queued: QueuedWork) -> None:
@@ -93,50 +93,50 @@
             waiting = self.waiting_by_organisation[name] = _Waiting(tag)
         entry = (queued.latest_start, next(self._order), queued.work.work_id)
         heappush(waiting.by_slack, entry)
-        self.number += 1
+        self.size += 1
         if waiting.by_slack[0] is entry:
-            self.compete_anew(name)
+            self.replace_entries(name)
 
-    def compete_anew(self, name: str) -> None:
+    def replace_entries(self, name: str) -> None:
         """Replace the organisation's entries after its tag or its head changed."""
         waiting = self.waiting_by_organisation[name]
         waiting.version = next(self._order)
         entry = _Entry(waiting.tag, waiting.version, name)
-        heappush(self.tags, entry)
-        heappush(self.ahead, entry)
-        if len(self.tags) > STALE_ENTRIES_KEPT + STALE_FACTOR * self.number:
+        heappush(self.by_tag, entry)
+        heappush(self.ineligible, entry)
+        if len(self.by_tag) > MIN_STALE_ENTRIES + MAX_STALE_RATIO * self.size:
             self._drop_stale()
 
     def _drop_stale(self) -> None:
-        for heap in (self.tags, self.within, self.ahead):
-            heap[:] = [entry for entry in heap if self._is_live(entry)]
+        for heap in (self.by_tag, self.eligible, self.ineligible):
+            heap[:] = [entry for entry in heap if self._is_current(entry)]
             heapify(heap)
 
-    def _is_live(self, entry: _Entry) -> bool:
+    def _is_current(self, entry: _Entry) -> bool:
         waiting = self.waiting_by_organisation.get(entry.organisation)
         return waiting is not None and waiting.version == entry.version
 
-    def _first(self, heap: list[_Entry]) -> _Entry | None:
-        while heap and not self._is_live(heap[0]):
+    def _first_current(self, heap: list[_Entry]) -> _Entry | None:
+        while heap and not self._is_current(heap[0]):
             heappop(heap)
         return heap[0] if heap else None
 
     def least_tag(self) -> float:
         """Return the least tag of the organisations that wait here."""
-        first = self._first(self.tags)
+        first = self._first_current(self.by_tag)
         return first.key if first is not None else 0.0
 
     def head(self) -> str:
         """Return the work to serve next; there must be some."""
         limit = self.least_tag() + ALLOWANCE_SECONDS
-        while (entry := self._first(self.ahead)) and entry.key <= limit:
-            heappop(self.ahead)
+        while (entry := self._first_current(self.ineligible)) and entry.key <= limit:
+            heappop(self.ineligible)
             waiting = self.waiting_by_organisation[entry.organisation]
-            heappush(self.within, entry._replace(key=waiting.by_slack[0][0]))
-        chosen = self._first(self.within)
+            heappush(self.eligible, entry._replace(key=waiting.by_slack[0][0]))
+        chosen = self._first_current(self.eligible)
         return self.waiting_by_organisation[chosen.organisation].by_slack[0][2]
 
-    def take(
+    def dequeue(
         self, queued: QueuedWork, charge: float, queued_ids: Container[str]
     ) -> None:
         """Forget one work and charge its organisation."""
@@ -144,11 +144,11 @@
         waiting = self.waiting_by_organisation[name]
         waiting.tag += charge
         self.tags_by_organisation[name] = waiting.tag
-        self.number -= 1
+        self.size -= 1
         while waiting.by_slack and waiting.by_slack[0][2] not in queued_ids:
             heappop(waiting.by_slack)
         if waiting.by_slack:
-            self.compete_anew(name)
+            self.replace_entries(name)
         else:
             del self.waiting_by_organisation[name]
 
@@ -191,19 +191,19 @@
     def pop(self, work_id: str) -> QueuedWork:
         """Take work to serve it; its organisation is charged its cost."""
         queued = self._queued_by_id.pop(work_id)
-        self._take(queued, queued.cost_seconds)
+        self._dequeue(queued, queued.cost_seconds)
         return queued
 
     def remove(self, work_id: str) -> QueuedWork | None:
         """Take work that will not be served; nobody is charged."""
         queued = self._queued_by_id.pop(work_id, None)
         if queued is not None:
-            self._take(queued, 0.0)
+            self._dequeue(queued, 0.0)
         return queued
 
-    def _take(self, queued: QueuedWork, charge: float) -> None:
+    def _dequeue(self, queued: QueuedWork, charge: float) -> None:
         lane = self._lanes_by_key[queued.lane]
-        lane.take(queued, charge, self._queued_by_id)
-        if not lane.number:
+        lane.dequeue(queued, charge, self._queued_by_id)
+        if not lane.size:
             # With nobody waiting all start equal again.
             del self._lanes_by_key[queued.lane]
--- a/cranberrywick/decisions/gangs.py
+++ b/cranberrywick/decisions/gangs.py
@@ -86,10 +86,12 @@
 def _plan_in_domain(
     prompt_tokens: int, output_tokens: int, members: list[Candidate]
 ) -> GangPlan | None:
-    roomiest = sorted(members, key=lambda each: (-each.free_tokens, each.endpoint_id))
+    by_free_tokens = sorted(
+        members, key=lambda member: (-member.free_tokens, member.endpoint_id)
+    )
     parts: list[Part] = []
     left = prompt_tokens + output_tokens
-    for candidate in roomiest[:MAX_MEMBERS]:
+    for candidate in by_free_tokens[:MAX_MEMBERS]:
         tokens = min(int(candidate.free_tokens * FREE_SHARE), left)
         if tokens <= 0:
             break
--- a/cranberrywick/decisions/hot_organisations.py
+++ b/cranberrywick/decisions/hot_organisations.py
@@ -28,7 +28,7 @@
 WINDOW_SECONDS = 10.0
 OVERLOAD_RATIO = 1.1
 # Rates this small are forgotten, in engine seconds a second.
-LEAST_RATE = 1e-4
+MIN_RATE = 1e-4
 
 
 def fair_level(rates: Iterable[float], capacity: float) -> float:
@@ -51,34 +51,34 @@
     """Compares what organisations ask for with what is served, in engine seconds."""
 
     def __init__(self) -> None:
-        self._asked_by_organisation: dict[str, float] = {}
-        self._served = 0.0
+        self._offered_by_organisation: dict[str, float] = {}
+        self._served_seconds = 0.0
         self._updated_at = 0.0
         self._hot: frozenset[str] = frozenset()
 
     def __contains__(self, organisation: str) -> bool:
         return organisation in self._hot
 
-    def asked(self, organisation: str, seconds: float) -> None:
+    def record_offered(self, organisation: str, seconds: float) -> None:
         """Count work that was offered, taken or not."""
-        known = self._asked_by_organisation.get(organisation, 0.0)
-        self._asked_by_organisation[organisation] = known + seconds
+        known = self._offered_by_organisation.get(organisation, 0.0)
+        self._offered_by_organisation[organisation] = known + seconds
 
-    def served(self, seconds: float) -> None:
+    def record_served(self, seconds: float) -> None:
         """Count work that was sent to an endpoint."""
-        self._served += seconds
+        self._served_seconds += seconds
 
     def update(self, now: float) -> None:
         """Judge again; call about once a second."""
         factor = exp(-(now - self._updated_at) / WINDOW_SECONDS)
         self._updated_at = now
-        asked = self._asked_by_organisation
+        asked = self._offered_by_organisation
         total = sum(asked.values())
         level = float("inf")
-        if total > OVERLOAD_RATIO * self._served:
-            level = fair_level(asked.values(), self._served)
+        if total > OVERLOAD_RATIO * self._served_seconds:
+            level = fair_level(asked.values(), self._served_seconds)
         self._hot = frozenset(name for name, rate in asked.items() if rate > level)
-        self._served *= factor
-        self._asked_by_organisation = {
-            name: rate * factor for name, rate in asked.items() if rate > LEAST_RATE
+        self._served_seconds *= factor
+        self._offered_by_organisation = {
+            name: rate * factor for name, rate in asked.items() if rate > MIN_RATE
         }
--- a/cranberrywick/decisions/isolation.py
+++ b/cranberrywick/decisions/isolation.py
@@ -12,15 +12,15 @@
 loses nothing; only long work is confined. The parts size themselves by what
 arrives: a band keeps its mean work in endpoints plus a margin of the square root
 of that (what queueing theory gives for a small wait), and all bands together never
-keep more than `SPARE_SHARE` of what the load leaves idle, so that long work is
+keep more than `MAX_SPARE_SHARE` of what the load leaves idle, so that long work is
 slowed only as far as it can bear.
 
 Grounds: the first band ends at a quarter of the tightest first-token target, so
 that short work behind short work still meets it; the next is sixteen times longer,
 which puts it in the middle between a summary and the longest reviews. Rates are
 averaged over half a minute, and a part changes by one endpoint a second at most
-and only when it is wrong by `DEAD_BAND`: a burst of ten seconds moves a part by a
-few endpoints, once, and noise does not move it.
+and only when it is wrong by `RESIZE_THRESHOLD`: a burst of ten seconds moves a part
+by a few endpoints, once, and noise does not move it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -31,18 +31,18 @@
 __all__ = ["BANDS", "Isolation", "band_of"]
 
 BANDS = 3
-BAND_SHARE_OF_TARGET = 0.25
-BAND_WIDTH = 16.0
+FIRST_BAND_SHARE_OF_TARGET = 0.25
+BAND_RATIO = 16.0
 # Before targets are known; the tightest of the design size.
-FIRST_TARGET_SECONDS = 1.7
+DEFAULT_TARGET_SECONDS = 1.7
 
 RATE_WINDOW_SECONDS = 30.0
-STAFFING_MARGIN = 2.5
-SPARE_SHARE = 0.7
-RESIZE_EVERY_SECONDS = 1.0
-DEAD_BAND = 0.6
+STAFFING_COEFFICIENT = 2.5
+MAX_SPARE_SHARE = 0.7
+RESIZE_INTERVAL_SECONDS = 1.0
+RESIZE_THRESHOLD = 0.6
 # A part that is needed at all has at least one endpoint.
-LEAST_WORK = 0.02
+MIN_BUSY_ENDPOINTS = 0.02
 
 
 def band_of(prefill_seconds: float, tightest_target: float) -> int:
@@ -51,10 +51,10 @@
     >>> band_of(0.1, tightest_target=1.7), band_of(20.0, tightest_target=1.7)
     (0, 2)
     """
-    limit = tightest_target * BAND_SHARE_OF_TARGET
+    limit = tightest_target * FIRST_BAND_SHARE_OF_TARGET
     band = 0
     while band < BANDS - 1 and prefill_seconds > limit:
-        limit *= BAND_WIDTH
+        limit *= BAND_RATIO
         band += 1
     return band
 
@@ -63,13 +63,13 @@
     """The parts of one pool of like endpoints."""
 
     def __init__(self) -> None:
-        self._tightest_target = FIRST_TARGET_SECONDS
+        self._tightest_target = DEFAULT_TARGET_SECONDS
         self._work_by_band = [0.0] * BANDS
         self._updated_at = 0.0
         self._started_at: float | None = None
         self._resized_at = float("-inf")
         # How many endpoints are closed to bands 1, 2, ...
-        self._kept = [0] * (BANDS - 1)
+        self._reserved = [0] * (BANDS - 1)
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
         """Take the tightest first-token target as the measure of short."""
@@ -103,7 +103,9 @@
         self._work_by_band = [work * factor for work in self._work_by_band]
         self._updated_at = now
 
-    def parts(self, endpoints: Iterable[Endpoint], now: float) -> dict[str, int]:
+    def longest_bands(
+        self, endpoints: Iterable[Endpoint], now: float
+    ) -> dict[str, int]:
         """Return the longest band that each of these endpoints takes."""
         by_domain: dict[str, list[str]] = {}
         for endpoint in endpoints:
@@ -113,38 +115,40 @@
         number = sum(len(ids) for ids in by_domain.values())
         self._resize(number, now)
         longest_by_id = {}
-        kept = [_spread(count, by_domain) for count in self._kept]
+        reserved = [_distribute(count, by_domain) for count in self._reserved]
         for domain, endpoint_ids in by_domain.items():
-            starts = [kept_by_domain[domain] for kept_by_domain in kept]
+            starts = [reserved_by_domain[domain] for reserved_by_domain in reserved]
             for rank, endpoint_id in enumerate(sorted(endpoint_ids)):
                 longest_by_id[endpoint_id] = sum(rank >= start for start in starts)
         return longest_by_id
 
     def _resize(self, number: int, now: float) -> None:
-        if now - self._resized_at < RESIZE_EVERY_SECONDS:
+        if now - self._resized_at < RESIZE_INTERVAL_SECONDS:
             return
         self._resized_at = now
         for index in range(BANDS - 1):
-            wanted = min(self._wanted(index, number, now), number - 1)
-            difference = wanted - self._kept[index]
-            if abs(difference) > DEAD_BAND:
-                self._kept[index] += 1 if difference > 0 else -1
+            wanted = min(self._target_reserved(index, number, now), number - 1)
+            difference = wanted - self._reserved[index]
+            if abs(difference) > RESIZE_THRESHOLD:
+                self._reserved[index] += 1 if difference > 0 else -1
         for index in range(1, BANDS - 1):
-            self._kept[index] = max(self._kept[index], self._kept[index - 1])
+            self._reserved[index] = max(
+                self._reserved[index], self._reserved[index - 1]
+            )
 
-    def _wanted(self, band: int, number: int, now: float) -> float:
+    def _target_reserved(self, band: int, number: int, now: float) -> float:
         """Return how many endpoints to close to what is longer than ``band``."""
         busy = self.busy_endpoints(band, now)
         longer = self.busy_endpoints(BANDS - 1, now) - busy
-        if busy < LEAST_WORK or longer < LEAST_WORK:
+        if busy < MIN_BUSY_ENDPOINTS or longer < MIN_BUSY_ENDPOINTS:
             return 0.0
         spare = max(0.0, number - busy - longer)
-        wanted = busy + min(STAFFING_MARGIN * sqrt(busy), SPARE_SHARE * spare)
+        wanted = busy + min(STAFFING_COEFFICIENT * sqrt(busy), MAX_SPARE_SHARE * spare)
         # Under overload both are cut alike.
         return max(1.0, min(wanted, number * busy / (busy + longer) + spare))
 
 
-def _spread(count: int, by_domain: Mapping[str, list[str]]) -> dict[str, int]:
+def _distribute(count: int, by_domain: Mapping[str, list[str]]) -> dict[str, int]:
     """Divide ``count`` endpoints over the domains by their size."""
     number = sum(len(ids) for ids in by_domain.values())
     exact = {name: count * len(ids) / number for name, ids in by_domain.items()}
--- a/cranberrywick/decisions/outcomes.py
+++ b/cranberrywick/decisions/outcomes.py
@@ -15,7 +15,7 @@
 __all__ = ["Outcomes"]
 
 # A first token cannot come sooner than this after its prefill began.
-LEAST_PREFILL_SECONDS = 1e-3
+MIN_PREFILL_SECONDS = 1e-3
 
 
 class Outcomes:
@@ -45,7 +45,7 @@
             return
         began = max(outstanding.sent_at, state.prefill_free_at)
         state.prefill_free_at = now
-        seconds = max(now - began, LEAST_PREFILL_SECONDS)
+        seconds = max(now - began, MIN_PREFILL_SECONDS)
         self._learn_prefill(job, state, seconds, now)
         self._pools.refresh(state, now)
 
@@ -87,7 +87,7 @@
         elif result.cold:
             state.mark_cold(now)
         else:
-            self._slow.failed(state.endpoint_id, job.work.work_id, now)
+            self._slow.record_failure(state.endpoint_id, job.work.work_id, now)
         job.attempts = job.attempts.with_failure(
             state.endpoint.failure_domain, result.executed
         )
@@ -106,7 +106,7 @@
         if work_id in state.prefilling_by_work:
             state.prefill_free_at = now
         state.ended(work_id, now)
-        self._slow.withdrawn(state.endpoint_id, work_id, now)
+        self._slow.record_withdrawal(state.endpoint_id, work_id, now)
         job.endpoint_id = None
         self._pools.refresh(state, now)
 
--- a/cranberrywick/decisions/placement.py
+++ b/cranberrywick/decisions/placement.py
@@ -108,38 +108,38 @@
         # Whether nobody else sends here. If others do, an endpoint of a longer part
         # may have a long prefill that no report has shown yet, and a short prompt
         # is not sent there for the sake of its prefix.
-        self.sees_all = True
+        self.is_sole_sender = True
         self._cost = cost
         self._open_by_longest_band = [_RandomSet() for _ in range(BANDS)]
         self._longest_band_by_id = {
             endpoint_id: BANDS - 1 for endpoint_id in self.states_by_id
         }
-        self._number_by_longest_band = [0] * BANDS
-        self._number_by_longest_band[-1] = len(self.states_by_id)
+        self._count_by_longest_band = [0] * BANDS
+        self._count_by_longest_band[-1] = len(self.states_by_id)
         self._blocks_by_endpoint: dict[str, OrderedDict[str, None]] = {}
         self._ring = sorted(
-            (_point(f"{endpoint_id}#{index}"), endpoint_id)
+            (_ring_position(f"{endpoint_id}#{index}"), endpoint_id)
             for endpoint_id in self.states_by_id
             for index in range(RING_POINTS_PER_ENDPOINT)
         )
 
-    def inherit(self, before: "Pool") -> None:
+    def inherit(self, previous: "Pool") -> None:
         """Take over parts and beliefs of the pool that this one replaces."""
-        self.set_parts(
+        self.set_longest_bands(
             {
-                endpoint_id: before._longest_band_by_id[endpoint_id]
+                endpoint_id: previous._longest_band_by_id[endpoint_id]
                 for endpoint_id in self.states_by_id
-                if endpoint_id in before.states_by_id
+                if endpoint_id in previous.states_by_id
             }
         )
-        self.sees_all = before.sees_all
+        self.is_sole_sender = previous.is_sole_sender
         self._blocks_by_endpoint = {
             endpoint_id: blocks
-            for endpoint_id, blocks in before._blocks_by_endpoint.items()
+            for endpoint_id, blocks in previous._blocks_by_endpoint.items()
             if endpoint_id in self.states_by_id
         }
 
-    def set_parts(self, longest_band_by_id: dict[str, int]) -> None:
+    def set_longest_bands(self, longest_band_by_id: dict[str, int]) -> None:
         """Say which bands each endpoint takes; those not named keep theirs."""
         for endpoint_id, longest in longest_band_by_id.items():
             known = self._longest_band_by_id[endpoint_id]
@@ -149,8 +149,8 @@
                 )
                 self.set_open(endpoint_id, False)
                 self._longest_band_by_id[endpoint_id] = longest
-                self._number_by_longest_band[known] -= 1
-                self._number_by_longest_band[longest] += 1
+                self._count_by_longest_band[known] -= 1
+                self._count_by_longest_band[longest] += 1
                 self.set_open(endpoint_id, is_open)
 
     def set_open(self, endpoint_id: str, is_open: bool) -> None:
@@ -165,13 +165,13 @@
         """Whether work of ``band`` could go somewhere."""
         return any(self._open_by_longest_band[band:])
 
-    def takes(self, endpoint_id: str, band: int) -> bool:
+    def accepts(self, endpoint_id: str, band: int) -> bool:
         """Whether work of ``band`` may go to the endpoint, open or not."""
         return self._longest_band_by_id[endpoint_id] >= band
 
-    def number_for(self, band: int) -> int:
+    def count_for(self, band: int) -> int:
         """Return how many endpoints take work of ``band``, open or not."""
-        return sum(self._number_by_longest_band[band:])
+        return sum(self._count_by_longest_band[band:])
 
     def candidates(self, work: Work, band: int, random: Random) -> list[str]:
         """Return a few open endpoints: the prefix's own, and some at random."""
@@ -179,15 +179,17 @@
         open_sets = self._open_by_longest_band[band:]
         for found in open_sets:
             if found:
-                near = open_sets if self.sees_all else [found]
-                return self._affine(work, near) + found.draw(RANDOM_CHOICES, random)
+                affinity_sets = open_sets if self.is_sole_sender else [found]
+                return self._affinity_candidate(work, affinity_sets) + found.draw(
+                    RANDOM_CHOICES, random
+                )
         return []
 
-    def _affine(self, work: Work, open_sets: list[_RandomSet]) -> list[str]:
+    def _affinity_candidate(self, work: Work, open_sets: list[_RandomSet]) -> list[str]:
         """Return the first open endpoint on the ring from the prefix's place."""
         if not work.prefix_keys or not self._ring:
             return []
-        start = bisect(self._ring, (_point(work.prefix_keys[0]), ""))
+        start = bisect(self._ring, (_ring_position(work.prefix_keys[0]), ""))
         for step in range(RING_STEPS):
             endpoint_id = self._ring[(start + step) % len(self._ring)][1]
             if any(endpoint_id in found for found in open_sets):
@@ -225,25 +227,25 @@
         blocks = self._blocks_by_endpoint.get(endpoint_id)
         if not blocks:
             return 0
-        hit = 0
-        while hit < len(work.prefix_keys) and work.prefix_keys[hit] in blocks:
-            hit += 1
-        return hit * PREFIX_BLOCK_TOKENS
+        hits = 0
+        while hits < len(work.prefix_keys) and work.prefix_keys[hits] in blocks:
+            hits += 1
+        return hits * PREFIX_BLOCK_TOKENS
 
-    def sent(self, work: Work, state: EndpointState) -> None:
+    def record_sent(self, work: Work, state: EndpointState) -> None:
         """Believe the work's prefix to be cached where it was sent."""
         blocks = self._blocks_by_endpoint.setdefault(state.endpoint_id, OrderedDict())
         for key in work.prefix_keys:
             blocks[key] = None
             blocks.move_to_end(key)
-        most = state.endpoint.cache_tokens // (2 * PREFIX_BLOCK_TOKENS)
-        while len(blocks) > most:
+        max_blocks = state.endpoint.cache_tokens // (2 * PREFIX_BLOCK_TOKENS)
+        while len(blocks) > max_blocks:
             blocks.popitem(last=False)
 
-    def forget_cache(self, endpoint_id: str) -> None:
+    def clear_cache(self, endpoint_id: str) -> None:
         """The endpoint has started anew; nothing is cached there."""
         self._blocks_by_endpoint.pop(endpoint_id, None)
 
 
-def _point(text: str) -> int:
+def _ring_position(text: str) -> int:
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/cranberrywick/decisions/pools.py
+++ b/cranberrywick/decisions/pools.py
@@ -28,7 +28,7 @@
 __all__ = ["PoolKey", "PoolState", "Pools"]
 
 # Reports and own counts differ by a little even when no other daemon sends.
-ALONE_SHARE = 0.9
+SOLE_SENDER_SHARE = 0.9
 
 
 class PoolKey(NamedTuple):
@@ -46,10 +46,10 @@
         self.pool: Pool | None = None
         self.isolation = Isolation()
         self.admission = Admission(random)
-        self.hot = HotOrganisations()
+        self.hot_organisations = HotOrganisations()
 
     @property
-    def typical_endpoint(self) -> Endpoint | None:
+    def sample_endpoint(self) -> Endpoint | None:
         """Any endpoint of the pool that is still listed."""
         for state in self.pool.states_by_id.values():
             if state.listed:
@@ -89,10 +89,10 @@
             for endpoint_state in self._fleet.states_by_id.values()
             if endpoint_state.serves(key.model, key.adapter, key.service)
         ]
-        before = state.pool
+        previous = state.pool
         state.pool = Pool(serving, self._cost)
-        if before is not None:
-            state.pool.inherit(before)
+        if previous is not None:
+            state.pool.inherit(previous)
         for endpoint_state in serving:
             is_open = self.is_open(endpoint_state, now)
             state.pool.set_open(endpoint_state.endpoint_id, is_open)
@@ -108,11 +108,11 @@
 
     def is_usable(self, state: EndpointState) -> bool:
         """Whether the endpoint is there and as quick as its peers."""
-        return self._is_present(state) and self._slow.admits(state.endpoint_id)
+        return self._is_available(state) and self._slow.admits(state.endpoint_id)
 
-    def _is_present(self, state: EndpointState) -> bool:
-        is_going = state.is_leaving or self._fleet.is_out(state)
-        return state.listed and not is_going
+    def _is_available(self, state: EndpointState) -> bool:
+        is_withdrawn = state.is_leaving or self._fleet.is_out(state)
+        return state.listed and not is_withdrawn
 
     def refresh(self, state: EndpointState, now: float) -> None:
         """Note in every pool whether the endpoint is open."""
@@ -130,7 +130,7 @@
     ) -> None:
         """Replace the known endpoints."""
         self._fleet.set_endpoints(endpoints_by_id)
-        for endpoint_id in self._slow.known():
+        for endpoint_id in self._slow.tracked():
             if endpoint_id not in endpoints_by_id:
                 self._slow.forget(endpoint_id)
         self._rebuild(now)
@@ -158,10 +158,10 @@
             return
         models = state.models
         is_new = state.report(load)
-        self._slow.report(load, is_new)
+        self._slow.record_report(load, is_new)
         if is_new:
             for pool_state in self._pools_by_key.values():
-                pool_state.pool.forget_cache(load.endpoint_id)
+                pool_state.pool.clear_cache(load.endpoint_id)
         if state.models != models:
             self._rebuild(now)
         else:
@@ -174,11 +174,13 @@
             self.refresh(state, now)
         self._fleet.update_own_share(now)
         for pool_state in self._pools_by_key.values():
-            pool_state.hot.update(now)
-            pool_state.pool.sees_all = self._fleet.own_share > ALONE_SHARE
+            pool_state.hot_organisations.update(now)
+            pool_state.pool.is_sole_sender = self._fleet.own_share > SOLE_SENDER_SHARE
             usable = self._usable_endpoints(pool_state.pool, now)
             if usable:
-                pool_state.pool.set_parts(pool_state.isolation.parts(usable, now))
+                pool_state.pool.set_longest_bands(
+                    pool_state.isolation.longest_bands(usable, now)
+                )
 
     def _check_overdue(self, state: EndpointState, now: float) -> None:
         """Look at the oldest prefill there; those behind it wait for it."""
@@ -194,10 +196,10 @@
             return
 
     def _usable_endpoints(self, pool: Pool, now: float) -> list[Endpoint]:
-        present = [s for s in pool.states_by_id.values() if self._is_present(s)]
-        usable = [s for s in present if self._slow.admits(s.endpoint_id)]
-        if present and not usable:
-            self._slow.readmit_last(state.endpoint_id for state in present)
-            for state in present:
+        available = [s for s in pool.states_by_id.values() if self._is_available(s)]
+        usable = [s for s in available if self._slow.admits(s.endpoint_id)]
+        if available and not usable:
+            self._slow.readmit_all(state.endpoint_id for state in available)
+            for state in available:
                 self.refresh(state, now)
-        return [state.endpoint for state in usable or present]
+        return [state.endpoint for state in usable or available]
--- a/cranberrywick/decisions/retries.py
+++ b/cranberrywick/decisions/retries.py
@@ -25,27 +25,27 @@
 __all__ = ["Attempts", "RetryBudget", "may_repeat"]
 
 EARNED_PER_SUCCESS = 0.1
-BUDGET_AT_FIRST = 10.0
-BUDGET_AT_MOST = 100.0
-ATTEMPTS_AT_MOST = 3
+INITIAL_BUDGET = 10.0
+MAX_BUDGET = 100.0
+MAX_ATTEMPTS = 3
 
 
 class Attempts(NamedTuple):
-    """What was tried for one request; ``ran`` says that an attempt may have run."""
+    """The failed attempts of one request, and whether one of them may have run."""
 
     count: int = 0
     failed_domains: frozenset[str] = frozenset()
-    ran: bool = False
+    may_have_run: bool = False
 
     @property
     def is_last(self) -> bool:
         """Whether no further attempt will be made."""
-        return self.count >= ATTEMPTS_AT_MOST
+        return self.count >= MAX_ATTEMPTS
 
     def with_failure(self, domain: str, executed: Executed) -> "Attempts":
         """Return this and one failed attempt more."""
-        ran = self.ran or executed is not Executed.NO
-        return Attempts(self.count + 1, self.failed_domains | {domain}, ran)
+        may_have_run = self.may_have_run or executed is not Executed.NO
+        return Attempts(self.count + 1, self.failed_domains | {domain}, may_have_run)
 
 
 def may_repeat(work: Work, result: SendResult) -> bool:
@@ -68,20 +68,20 @@
     """
 
     def __init__(self) -> None:
-        self._left = BUDGET_AT_FIRST
+        self._remaining = INITIAL_BUDGET
 
     @property
-    def left(self) -> float:
+    def remaining(self) -> float:
         """How many retries may still be made."""
-        return self._left
+        return self._remaining
 
     def earn(self) -> None:
         """Count one success."""
-        self._left = min(BUDGET_AT_MOST, self._left + EARNED_PER_SUCCESS)
+        self._remaining = min(MAX_BUDGET, self._remaining + EARNED_PER_SUCCESS)
 
     def take(self, overloaded: bool) -> bool:
         """Spend one retry if there is one and the fleet has room for it."""
-        if overloaded or self._left < 1.0:
+        if overloaded or self._remaining < 1.0:
             return False
-        self._left -= 1.0
+        self._remaining -= 1.0
         return True
--- a/cranberrywick/decisions/scheduler.py
+++ b/cranberrywick/decisions/scheduler.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from cranberrywick.decisions.admission import (
-    Endpoints,
+    EndpointCounts,
     wait_kind,
 )
 from cranberrywick.decisions.choosing import Chooser, Lane, needs_gang
@@ -44,9 +44,9 @@
 
 __all__ = ["Scheduler"]
 
-SWEEP_EVERY_SECONDS = 1.0
+SWEEP_INTERVAL_SECONDS = 1.0
 # Where waiting alone changes nothing: an endpoint must come or targets change.
-UNCHANGED_RETRY_SECONDS = 5.0
+NO_OVERLOAD_RETRY_SECONDS = 5.0
 # A prefill may take this many times what is expected and still be in time. The
 # expectation is a mean: streams and cache misses make one in twenty this slow.
 PREFILL_MARGIN = 1.5
@@ -81,12 +81,12 @@
         """Queue the work if it can make its targets, else refuse it at once."""
         key = PoolKey(work.model, work.adapter, work.service)
         state = self._pools.get(key, now)
-        endpoint = state.typical_endpoint
+        endpoint = state.sample_endpoint
         if endpoint is None:
-            return self._refuse_without_load(work, RefusalReason.NO_ENDPOINT)
+            return self._refuse_without_overload(work, RefusalReason.NO_ENDPOINT)
         is_gang = needs_gang(work, endpoint)
         if is_gang and not self._chooser.could_hold(work, state.pool):
-            return self._refuse_without_load(work, RefusalReason.NO_ENDPOINT)
+            return self._refuse_without_overload(work, RefusalReason.NO_ENDPOINT)
         estimate = self._cost.estimate(work, endpoint)
         band = state.isolation.band(estimate.prefill_seconds)
         latest = self._latest_start(work, estimate.prefill_seconds, now)
@@ -95,16 +95,20 @@
             # Too long for its class even on an idle fleet. Counted as asked for, it
             # made its organisation look hot, and the refusal blamed the load.
             reason = RefusalReason.CANNOT_MEET_TARGET
-            return self._refuse_without_load(work, reason)
-        is_hot = work.organisation in state.hot
-        state.hot.asked(work.organisation, estimate.prefill_seconds)
+            return self._refuse_without_overload(work, reason)
+        is_hot = work.organisation in state.hot_organisations
+        state.hot_organisations.record_offered(
+            work.organisation, estimate.prefill_seconds
+        )
         share = self._fleet.own_share
         total = len(state.pool.states_by_id)
-        drained_by = Endpoints(share * total, share * state.pool.number_for(band))
+        endpoint_counts = EndpointCounts(
+            share * total, share * state.pool.count_for(band)
+        )
         slack = latest - now
         kind = wait_kind(band, slack)
         wait = state.admission.predicted_wait(
-            work.organisation, kind, estimate.prefill_seconds, drained_by, now
+            work.organisation, kind, estimate.prefill_seconds, endpoint_counts, now
         )
         if not state.admission.allows(wait, slack):
             return self._refuse(work, state, wait, slack, estimate.prefill_seconds, now)
@@ -115,9 +119,9 @@
         self._enqueue(Job(queued, kind, wait, now))
         return Queued(work.work_id)
 
-    def _refuse_without_load(self, work: Work, reason: RefusalReason) -> Refused:
+    def _refuse_without_overload(self, work: Work, reason: RefusalReason) -> Refused:
         """Refuse for a cause that is not overload, and is not counted as such."""
-        after = UNCHANGED_RETRY_SECONDS * (0.5 + self._random.random())
+        after = NO_OVERLOAD_RETRY_SECONDS * (0.5 + self._random.random())
         return Refused(work.work_id, reason, after)
 
     @staticmethod
@@ -142,7 +146,7 @@
         admission = state.admission
         number = self._fleet.own_share * len(state.pool.states_by_id)
         reason = RefusalReason.CANNOT_MEET_TARGET
-        if work.organisation in state.hot:
+        if work.organisation in state.hot_organisations:
             reason = RefusalReason.ORGANISATION_OVER_SHARE
         after = admission.refuse(wait, slack, seconds, number, now)
         return Refused(work.work_id, reason, after)
@@ -154,19 +158,19 @@
         heappush(self._latest_starts, (queued.latest_start, job.work.work_id))
         state = self._pools[queued.lane.pool]
         organisation = job.work.organisation
-        state.admission.queued(organisation, job.kind, queued.cost_seconds)
+        state.admission.record_queued(organisation, job.kind, queued.cost_seconds)
 
-    def _dequeued(self, job: Job) -> None:
+    def _record_dequeued(self, job: Job) -> None:
         queued = job.queued
         state = self._pools[queued.lane.pool]
         organisation = job.work.organisation
-        state.admission.left(organisation, job.kind, queued.cost_seconds)
+        state.admission.record_dequeued(organisation, job.kind, queued.cost_seconds)
 
     # Decisions
 
     def poll(self, now: float) -> list[Send | GiveUp]:
         """Give up what can no longer make it, and send what there is room for."""
-        if now >= self._swept_at + SWEEP_EVERY_SECONDS:
+        if now >= self._swept_at + SWEEP_INTERVAL_SECONDS:
             self._swept_at = now
             self._pools.sweep(now)
         actions: list[Send | GiveUp] = self._give_up(now)
@@ -199,18 +203,18 @@
         job = self._jobs_by_work[work.work_id]
         state = self._pools[queued.lane.pool]
         self._queue.pop(work.work_id)
-        self._dequeued(job)
-        state.admission.waited(job.kind, job.predicted_wait, now - job.queued_at)
-        state.admission.served(band, choice.prefill_seconds, now)
-        state.hot.served(queued.cost_seconds)
-        state.pool.sent(work, choice.state)
-        self._count_sent(work, choice, now)
+        self._record_dequeued(job)
+        state.admission.record_wait(job.kind, job.predicted_wait, now - job.queued_at)
+        state.admission.record_served(band, choice.prefill_seconds, now)
+        state.hot_organisations.record_served(queued.cost_seconds)
+        state.pool.record_sent(work, choice.state)
+        self._record_sent(work, choice, now)
         job.endpoint_id = choice.state.endpoint_id
         job.choice = choice
         self._pools.refresh(choice.state, now)
         return Send(work.work_id, choice.endpoint_ids, choice.gang_tokens)
 
-    def _count_sent(self, work: Work, choice: Choice, now: float) -> None:
+    def _record_sent(self, work: Work, choice: Choice, now: float) -> None:
         gang = choice.gang
         choice.state.sent(
             work,
@@ -235,11 +239,11 @@
             if job.queued.latest_start != latest:
                 continue
             self._queue.remove(work_id)
-            self._dequeued(job)
+            self._record_dequeued(job)
             del self._jobs_by_work[work_id]
             waited = now - job.queued_at
             admission = self._pools[job.queued.lane.pool].admission
-            admission.waited(job.kind, job.predicted_wait, waited)
+            admission.record_wait(job.kind, job.predicted_wait, waited)
             actions.append(GiveUp(self._refuse_late(job, now)))
         return actions
 
@@ -254,7 +258,7 @@
             heappop(self._latest_starts)
         if not self._jobs_by_work:
             return None
-        wake = self._swept_at + SWEEP_EVERY_SECONDS
+        wake = self._swept_at + SWEEP_INTERVAL_SECONDS
         if self._latest_starts:
             wake = min(wake, self._latest_starts[0][0] + 2 * ROUNDING_SECONDS)
         return wake
@@ -286,8 +290,8 @@
             self._enqueue(job)
             return Retry(work_id)
         del self._jobs_by_work[work_id]
-        if result.executed is Executed.NO and not job.attempts.ran:
-            return self._refuse_without_load(job.work, RefusalReason.NO_ENDPOINT)
+        if result.executed is Executed.NO and not job.attempts.may_have_run:
+            return self._refuse_without_overload(job.work, RefusalReason.NO_ENDPOINT)
         return Settled(work_id)
 
     def _may_retry(self, job: Job, result: SendResult, now: float) -> bool:
@@ -311,7 +315,7 @@
         if job is None:
             return
         if self._queue.remove(work_id) is not None:
-            self._dequeued(job)
+            self._record_dequeued(job)
         else:
             self._outcomes.release(job, now)
 
--- a/cranberrywick/decisions/slow_endpoints.py
+++ b/cranberrywick/decisions/slow_endpoints.py
@@ -36,19 +36,19 @@
 SLOW_RATIO = 3.0
 # A probe this near to its peers counts as good.
 GOOD_PROBE_RATIO = 2.0
-GOOD_PROBES = 2
+GOOD_PROBES_NEEDED = 2
 LEARNING_RATE = 0.5
 FLEET_LEARNING_RATE = 0.02
-LARGEST_LOG_RATIO = 2.5
-OUTCOMES_AT_LEAST = 2
-EJECTED_SHARE_AT_MOST = 0.2
-FIRST_PROBE_SECONDS = 5.0
+MAX_LOG_RATIO = 2.5
+MIN_OUTCOMES = 2
+MAX_EJECTED_SHARE = 0.2
+MIN_PROBE_INTERVAL_SECONDS = 5.0
 PROBE_BACKOFF = 1.5
-LAST_PROBE_SECONDS = 10.0
+MAX_PROBE_INTERVAL_SECONDS = 10.0
 # An unfinished prefill is overdue past this ratio and this much time.
 OVERDUE_RATIO = 4.0
 OVERDUE_SECONDS = 0.3
-SHORTEST_JUDGED_SECONDS = 0.1
+MIN_COMPARED_SECONDS = 0.1
 
 
 class EndpointHealth:
@@ -60,7 +60,7 @@
         self.is_ejected = False
         self.failed_at: float | None = None
         self.probe_at = 0.0
-        self.probe_wait = FIRST_PROBE_SECONDS
+        self.probe_interval = MIN_PROBE_INTERVAL_SECONDS
         self.probe_work: str | None = None
         self.good_probes = 0
         self.overdue_work: str | None = None
@@ -94,16 +94,20 @@
         now: float,
     ) -> None:
         """Take one prefill's time and what was expected of it."""
-        health = self._health(endpoint_id)
-        ratio = _at_least(seconds) / _at_least(expected_seconds)
-        step = max(-LARGEST_LOG_RATIO, min(LARGEST_LOG_RATIO, log(max(ratio, 1e-6))))
+        health = self._health_of(endpoint_id)
+        ratio = _floored(seconds) / _floored(expected_seconds)
+        observed_log_ratio = max(
+            -MAX_LOG_RATIO, min(MAX_LOG_RATIO, log(max(ratio, 1e-6)))
+        )
         if health.is_ejected:
-            self._probe_ended(endpoint_id, health, work_id, step, now)
+            self._record_probe(endpoint_id, health, work_id, observed_log_ratio, now)
             return
         if health.overdue_work == work_id:
             return
-        self._fleet_log_ratio += FLEET_LEARNING_RATE * (step - self._fleet_log_ratio)
-        self._judge(endpoint_id, health, step, peers, now)
+        self._fleet_log_ratio += FLEET_LEARNING_RATE * (
+            observed_log_ratio - self._fleet_log_ratio
+        )
+        self._record_ratio(endpoint_id, health, observed_log_ratio, peers, now)
 
     def check_overdue(
         self,
@@ -115,36 +119,36 @@
         now: float,
     ) -> None:
         """Count a prefill that should have ended long ago, once."""
-        expected_seconds = _at_least(expected_seconds)
-        most = OVERDUE_RATIO * expected_seconds * exp(max(0.0, self._fleet_log_ratio))
-        if elapsed_seconds < most + OVERDUE_SECONDS:
+        expected_seconds = _floored(expected_seconds)
+        limit = OVERDUE_RATIO * expected_seconds * exp(max(0.0, self._fleet_log_ratio))
+        if elapsed_seconds < limit + OVERDUE_SECONDS:
             return
-        health = self._health(endpoint_id)
+        health = self._health_of(endpoint_id)
         if health.is_ejected or health.overdue_work == work_id:
             return
         health.overdue_work = work_id
-        step = min(LARGEST_LOG_RATIO, log(elapsed_seconds / expected_seconds))
-        self._judge(endpoint_id, health, step, peers, now)
+        observed_log_ratio = min(MAX_LOG_RATIO, log(elapsed_seconds / expected_seconds))
+        self._record_ratio(endpoint_id, health, observed_log_ratio, peers, now)
 
-    def _judge(
+    def _record_ratio(
         self,
         endpoint_id: str,
         health: EndpointHealth,
-        step: float,
+        observed_log_ratio: float,
         peers: int,
         now: float,
     ) -> None:
         health.outcomes += 1
-        health.log_ratio += LEARNING_RATE * (step - health.log_ratio)
+        health.log_ratio += LEARNING_RATE * (observed_log_ratio - health.log_ratio)
         slower = health.log_ratio - self._fleet_log_ratio
-        if slower < log(SLOW_RATIO) or health.outcomes < OUTCOMES_AT_LEAST:
+        if slower < log(SLOW_RATIO) or health.outcomes < MIN_OUTCOMES:
             return
-        if len(self._ejected) + 1 > max(1.0, EJECTED_SHARE_AT_MOST * peers):
+        if len(self._ejected) + 1 > max(1.0, MAX_EJECTED_SHARE * peers):
             return
         health.is_ejected = True
         health.good_probes = 0
-        health.probe_wait = FIRST_PROBE_SECONDS
-        health.probe_at = now + health.probe_wait
+        health.probe_interval = MIN_PROBE_INTERVAL_SECONDS
+        health.probe_at = now + health.probe_interval
         self._ejected.add(endpoint_id)
 
     def probe_due(self, now: float) -> str | None:
@@ -156,49 +160,49 @@
                 return endpoint_id
         return None
 
-    def probe_sent(self, endpoint_id: str, work_id: str, now: float) -> None:
+    def record_probe_sent(self, endpoint_id: str, work_id: str, now: float) -> None:
         """Note which request is the probe."""
         self._health_by_id[endpoint_id].probe_work = work_id
 
-    def _probe_ended(
+    def _record_probe(
         self,
         endpoint_id: str,
         health: EndpointHealth,
         work_id: str,
-        step: float,
+        observed_log_ratio: float,
         now: float,
     ) -> None:
         if health.probe_work != work_id:
             return
         health.probe_work = None
-        if step - self._fleet_log_ratio > log(GOOD_PROBE_RATIO):
+        if observed_log_ratio - self._fleet_log_ratio > log(GOOD_PROBE_RATIO):
             health.good_probes = 0
-            health.probe_wait = min(
-                LAST_PROBE_SECONDS, health.probe_wait * PROBE_BACKOFF
+            health.probe_interval = min(
+                MAX_PROBE_INTERVAL_SECONDS, health.probe_interval * PROBE_BACKOFF
             )
-            health.probe_at = now + health.probe_wait
+            health.probe_at = now + health.probe_interval
             return
         health.good_probes += 1
         health.probe_at = now
-        if health.good_probes >= GOOD_PROBES:
+        if health.good_probes >= GOOD_PROBES_NEEDED:
             self._readmit(endpoint_id)
 
-    def failed(self, endpoint_id: str, work_id: str, now: float) -> None:
+    def record_failure(self, endpoint_id: str, work_id: str, now: float) -> None:
         """The endpoint broke off or could not be reached."""
-        health = self._health(endpoint_id)
+        health = self._health_of(endpoint_id)
         health.failed_at = now
         if health.probe_work == work_id:
             health.probe_work = None
-            health.probe_at = now + health.probe_wait
+            health.probe_at = now + health.probe_interval
 
-    def withdrawn(self, endpoint_id: str, work_id: str, now: float) -> None:
+    def record_withdrawal(self, endpoint_id: str, work_id: str, now: float) -> None:
         """A request ended without a verdict, so a probe must be sent again."""
         health = self._health_by_id.get(endpoint_id)
         if health is not None and health.probe_work == work_id:
             health.probe_work = None
-            health.probe_at = now + health.probe_wait
+            health.probe_at = now + health.probe_interval
 
-    def report(self, load: EndpointLoad, is_new_incarnation: bool) -> None:
+    def record_report(self, load: EndpointLoad, is_new_incarnation: bool) -> None:
         """A report made after a failure shows that the endpoint is back."""
         health = self._health_by_id.get(load.endpoint_id)
         if health is None:
@@ -208,7 +212,7 @@
         if is_new_incarnation:
             self._readmit(load.endpoint_id)
 
-    def readmit_last(self, endpoint_ids: Iterable[str]) -> None:
+    def readmit_all(self, endpoint_ids: Iterable[str]) -> None:
         """Use ejected endpoints again: no other is left."""
         for endpoint_id in endpoint_ids:
             if endpoint_id in self._ejected:
@@ -221,7 +225,7 @@
         self._health_by_id[endpoint_id].failed_at = failed_at
         self._ejected.discard(endpoint_id)
 
-    def known(self) -> tuple[str, ...]:
+    def tracked(self) -> tuple[str, ...]:
         """Return the endpoints that something was noted of."""
         return tuple(self._health_by_id)
 
@@ -230,9 +234,9 @@
         self._health_by_id.pop(endpoint_id, None)
         self._ejected.discard(endpoint_id)
 
-    def _health(self, endpoint_id: str) -> EndpointHealth:
+    def _health_of(self, endpoint_id: str) -> EndpointHealth:
         return self._health_by_id.setdefault(endpoint_id, EndpointHealth())
 
 
-def _at_least(seconds: float) -> float:
-    return max(seconds, SHORTEST_JUDGED_SECONDS)
+def _floored(seconds: float) -> float:
+    return max(seconds, MIN_COMPARED_SECONDS)
--- a/tests/test_decisions_machines.py
+++ b/tests/test_decisions_machines.py
@@ -26,9 +26,9 @@
     QueuedWork,
 )
 from cranberrywick.decisions.retries import (
-    ATTEMPTS_AT_MOST,
-    BUDGET_AT_FIRST,
     EARNED_PER_SUCCESS,
+    INITIAL_BUDGET,
+    MAX_ATTEMPTS,
     RetryBudget,
 )
 from cranberrywick.decisions.strategies import make_strategy
@@ -163,9 +163,9 @@
 
     @invariant()
     def never_more_than_earned(self):
-        earned = BUDGET_AT_FIRST + self.successes * EARNED_PER_SUCCESS
+        earned = INITIAL_BUDGET + self.successes * EARNED_PER_SUCCESS
         assert self.retries <= earned + 1e-6
-        assert self.budget.left >= 0
+        assert self.budget.remaining >= 0
 
 
 class SchedulerMachine(RuleBasedStateMachine):
@@ -274,7 +274,7 @@
         if isinstance(answer, Retry):
             key = f"{work_id} retries"
             self.runs[key] = self.runs.get(key, 0) + 1
-            assert self.runs[key] < ATTEMPTS_AT_MOST
+            assert self.runs[key] < MAX_ATTEMPTS
 
     @precondition(lambda self: self.open)
     @rule(data=st.data())
--- a/tests/test_decisions_modules.py
+++ b/tests/test_decisions_modules.py
@@ -11,7 +11,7 @@
     make_work,
 )
 
-from cranberrywick.decisions.admission import Admission, Endpoints, wait_kind
+from cranberrywick.decisions.admission import Admission, EndpointCounts, wait_kind
 from cranberrywick.decisions.cost import CostModel
 from cranberrywick.decisions.fleet import EndpointState, Fleet
 from cranberrywick.decisions.hot_organisations import HotOrganisations
@@ -21,7 +21,7 @@
 from cranberrywick.decisions.slow_endpoints import SlowEndpoints
 from cranberrywick.model import EndpointPhase, Executed, Share
 
-ENDPOINTS = Endpoints(total=4, for_band=4)
+ENDPOINTS = EndpointCounts(total=4, for_band=4)
 
 
 def test_cost_learns_the_speed_of_each_length_and_the_length_of_answers():
@@ -44,17 +44,17 @@
 
 def test_admission_predicts_the_wait_from_engine_time_and_organisation():
     admission, kind = Admission(Random(1)), wait_kind(0, slack=2.0)
-    admission.queued("hot", kind, 40.0)
+    admission.record_queued("hot", kind, 40.0)
     assert admission.predicted_wait("hot", kind, 0.1, ENDPOINTS, 0.0) == 10.0
     # Another organisation waits for as much of the queue as it asks for itself.
     assert admission.predicted_wait("other", kind, 0.1, ENDPOINTS, 0.0) < 0.1
-    admission.left("hot", kind, 40.0)
+    admission.record_dequeued("hot", kind, 40.0)
     assert admission.predicted_wait("hot", kind, 0.1, ENDPOINTS, 0.0) == 0.0
 
 
 def test_admission_does_not_count_what_has_more_slack_or_is_longer():
     admission, review = Admission(Random(1)), wait_kind(2, slack=170.0)
-    admission.queued("o", review, 400.0)
+    admission.record_queued("o", review, 400.0)
     for kind in (wait_kind(0, 2.0), wait_kind(2, 6.0)):
         assert admission.predicted_wait("o", kind, 0.1, ENDPOINTS, 0.0) == 0.0
     assert admission.predicted_wait("o", review, 10.0, ENDPOINTS, 0.0) == 100.0
@@ -62,10 +62,10 @@
 
 def test_admission_corrects_its_predictions_by_the_waits_that_came_true():
     admission, kind = Admission(Random(1)), wait_kind(0, slack=2.0)
-    admission.queued("o", kind, 4.0)
+    admission.record_queued("o", kind, 4.0)
     for _ in range(100):
         predicted = admission.predicted_wait("o", kind, 0.1, ENDPOINTS, 0.0)
-        admission.waited(kind, predicted, actual=2.0)
+        admission.record_wait(kind, predicted, actual=2.0)
     corrected = admission.predicted_wait("o", kind, 0.1, ENDPOINTS, 0.0)
     assert corrected == pytest.approx(2.0, rel=0.05)
 
@@ -97,7 +97,7 @@
     for second in range(start, start + seconds):
         isolation.observe(0, short_work, float(second))
         isolation.observe(2, long_work, float(second))
-        parts = isolation.parts(fleet, float(second))
+        parts = isolation.longest_bands(fleet, float(second))
     return isolation, fleet, parts
 
 
@@ -121,7 +121,7 @@
     for second in range(90, 240):
         isolation.observe(0, 6.0, float(second))
         isolation.observe(2, 6.0, float(second))
-        after = isolation.parts(fleet, float(second))
+        after = isolation.longest_bands(fleet, float(second))
         before_kept = sum(longest == 0 for longest in before.values())
         changes.append(sum(longest == 0 for longest in after.values()) - before_kept)
         before = after
@@ -144,7 +144,7 @@
 def place(pool, work, random, now=0.0):
     candidates = pool.candidates(work, 0, random)
     choice = pool.best(work, candidates, now, lambda state: True)
-    pool.sent(work, choice.state)
+    pool.record_sent(work, choice.state)
     return choice
 
 
@@ -172,12 +172,12 @@
 
 def test_placement_confines_long_work_and_fills_the_kept_part_first():
     pool, random = make_pool(), Random(1)
-    pool.set_parts({"e0": 0, "e1": 0})
+    pool.set_longest_bands({"e0": 0, "e1": 0})
     short = {place(pool, make_work(), random).state.endpoint_id for _ in range(50)}
     long = {c for _ in range(50) for c in pool.candidates(make_work(), 2, random)}
     assert short <= {"e0", "e1"}
     assert not long & {"e0", "e1"}
-    assert pool.number_for(2) == 6
+    assert pool.count_for(2) == 6
 
 
 def test_own_outstanding_work_counts_at_once_and_once():
@@ -256,7 +256,7 @@
     for ratio in (10.0, 1.0, 1.0):
         while slow.probe_due(now) is None:
             now += 0.5
-        slow.probe_sent("e3", f"p{now}", now)
+        slow.record_probe_sent("e3", f"p{now}", now)
         assert slow.probe_due(now) is None
         slow.observe("e3", f"p{now}", ratio, 1.0, peers=16, now=now)
     assert slow.admits("e3")
@@ -274,10 +274,10 @@
 
 def test_a_failed_endpoint_is_closed_until_it_reports_again():
     slow = SlowEndpoints()
-    slow.failed("e0", "w", now=5.0)
-    slow.report(make_load("e0", at=4.0), is_new_incarnation=False)
+    slow.record_failure("e0", "w", now=5.0)
+    slow.record_report(make_load("e0", at=4.0), is_new_incarnation=False)
     assert not slow.admits("e0")
-    slow.report(make_load("e0", at=6.0), is_new_incarnation=False)
+    slow.record_report(make_load("e0", at=6.0), is_new_incarnation=False)
     assert slow.admits("e0")
 
 
@@ -313,10 +313,10 @@
     hot = HotOrganisations()
 
     def second(now, asked_by_hot, served):
-        hot.asked("hot", asked_by_hot)
-        hot.asked("large", 3.0)
-        hot.asked("small", 1.0)
-        hot.served(served)
+        hot.record_offered("hot", asked_by_hot)
+        hot.record_offered("large", 3.0)
+        hot.record_offered("small", 1.0)
+        hot.record_served(served)
         hot.update(now)
 
     for now in range(30):
