--- a/cranberrywick/decisions/scheduler.py
+++ b/cranberrywick/decisions/scheduler.py
@@ -1,9 +1,9 @@
-"""The strategy of the product: the decision modules, composed.
+"""The default strategy, composed of the decision modules.
 
-Work is admitted by predicted wait, held here in fair order, and sent only when an
-endpoint is about to be free, since what has been sent can no longer be reordered.
-Each event costs a few dictionary and heap operations; nothing looks at all
-endpoints or at the whole queue but the sweep, once a second.
+Work is admitted by its predicted wait, queued here in fair order, and sent only when
+an endpoint is about to become free, because work that has been sent can no longer be
+reordered. Each event costs a few dictionary and heap operations. Only the sweep, once
+a second, iterates over all endpoints; nothing iterates over the whole queue.
 """
 
 from collections.abc import Mapping
@@ -45,18 +45,24 @@
 __all__ = ["Scheduler"]
 
 SWEEP_INTERVAL_SECONDS = 1.0
-# Where waiting alone changes nothing: an endpoint must come or targets change.
+# Mean time, in seconds, after which a caller may retry when overload was not the cause
+# of the refusal: only a new endpoint or changed targets would admit the work.
 NO_OVERLOAD_RETRY_SECONDS = 5.0
-# A prefill may take this many times what is expected and still be in time. The
-# expectation is a mean: streams and cache misses make one in twenty this slow.
+# Time reserved for a prefill, as a multiple of its expected duration. The expectation
+# is a mean: streams and cache misses make one prefill in twenty this slow.
 PREFILL_MARGIN = 1.5
-# Work this late is given up; rounding must not decide.
+# Tolerance in seconds before queued work counts as late, so that rounding errors do
+# not decide.
 ROUNDING_SECONDS = 1e-6
 
 
 @register_strategy("cranberrywick")
 class Scheduler(Strategy):
-    """Admission, fair queue, isolation, placement, retries and slow endpoints."""
+    """Schedules requests by predicted wait, fair share and predicted first token.
+
+    It combines admission, the fair queue, isolation, placement, retries and the
+    detection of slow endpoints.
+    """
 
     def __init__(self, seed: int):
         super().__init__(seed)
@@ -78,7 +84,7 @@
     # Arrival
 
     def offer(self, work: Work, now: float) -> Queued | Refused:
-        """Queue the work if it can make its targets, else refuse it at once."""
+        """Queue the work if it can meet its targets, else refuse it at once."""
         key = PoolKey(work.model, work.adapter, work.service)
         state = self._pools.get(key, now)
         endpoint = state.sample_endpoint
@@ -92,8 +98,9 @@
         latest = self._latest_start(work, estimate.prefill_seconds, now)
         latest = min(latest, work.deadline - estimate.total_seconds)
         if latest < now:
-            # Too long for its class even on an idle fleet. Counted as asked for, it
-            # made its organisation look hot, and the refusal blamed the load.
+            # Too long for its class even on an idle fleet. When such work counted as
+            # demand, its organisation was marked hot and the refusal wrongly named
+            # overload as the reason.
             reason = RefusalReason.CANNOT_MEET_TARGET
             return self._refuse_without_overload(work, reason)
         is_hot = work.organisation in state.hot_organisations
@@ -120,16 +127,16 @@
         return Queued(work.work_id)
 
     def _refuse_without_overload(self, work: Work, reason: RefusalReason) -> Refused:
-        """Refuse for a cause that is not overload, and is not counted as such."""
+        """Return a refusal that does not count as a sign of overload."""
         after = NO_OVERLOAD_RETRY_SECONDS * (0.5 + self._random.random())
         return Refused(work.work_id, reason, after)
 
     @staticmethod
     def _latest_start(work: Work, prefill_seconds: float, now: float) -> float:
-        """Return when prefill must start for a prompt first token.
+        """Return the latest time at which prefill can start and still be on time.
 
-        A prompt that is too long for its class's promptness even on an idle fleet
-        is held to its completion time alone.
+        A prompt that is too long to meet its first-token target even on an idle
+        fleet has to meet its completion deadline only.
         """
         latest = work.first_token_deadline - PREFILL_MARGIN * prefill_seconds
         return latest if latest >= now else work.deadline - prefill_seconds
@@ -169,7 +176,7 @@
     # Decisions
 
     def poll(self, now: float) -> list[Send | GiveUp]:
-        """Give up what can no longer make it, and send what there is room for."""
+        """Give up late work, and send work while endpoints are open for it."""
         if now >= self._swept_at + SWEEP_INTERVAL_SECONDS:
             self._swept_at = now
             self._pools.sweep(now)
@@ -185,7 +192,11 @@
         return actions
 
     def _next(self, blocked: set[Lane]) -> QueuedWork | None:
-        """Return the head with least slack among the lanes with an open endpoint."""
+        """Return the most urgent head of the lanes that have an open endpoint.
+
+        While any endpoint is ejected, every lane counts, since its head may be sent
+        there as a probe.
+        """
         best = None
         for lane in self._queue.lanes():
             pool = self._pools[lane.pool].pool
@@ -228,7 +239,7 @@
             helper.hold(work.work_id, part.tokens, now)
 
     def _give_up(self, now: float) -> list[Send | GiveUp]:
-        """Answer those whose latest start has passed, at once."""
+        """Remove the work whose latest start has passed and refuse it."""
         actions: list[Send | GiveUp] = []
         starts = self._latest_starts
         while starts and starts[0][0] < now - ROUNDING_SECONDS:
@@ -253,7 +264,10 @@
         return self._refuse(job.work, state, 0.0, 0.0, seconds, now)
 
     def next_wake(self, now: float) -> float | None:
-        """Wake for the next latest start, and to sweep while there is work."""
+        """Return the next latest start or the next sweep, whichever is earlier.
+
+        Return None while no request is queued or sent.
+        """
         while self._latest_starts and (self._latest_starts[0][1] not in self._queue):
             heappop(self._latest_starts)
         if not self._jobs_by_work:
@@ -266,7 +280,7 @@
     # Outcomes
 
     def first_token(self, work_id: str, now: float) -> None:
-        """Learn from the prefill and open the endpoint for the next one."""
+        """Update the cost estimates and open the endpoint for its next prefill."""
         job = self._jobs_by_work.get(work_id)
         if job is not None:
             self._outcomes.first_token(job, now)
@@ -274,7 +288,7 @@
     def finished(
         self, work_id: str, result: SendResult, now: float
     ) -> Settled | Retry | Refused:
-        """Release what the attempt held; try again where that is safe and useful."""
+        """Release what the attempt held, and retry where that is safe and useful."""
         job = self._jobs_by_work.get(work_id)
         if job is None:
             return Settled(work_id)
@@ -310,7 +324,7 @@
         return True
 
     def withdraw(self, work_id: str, now: float) -> None:
-        """Forget the work and release what it holds."""
+        """Remove the work, queued or sent, and release what it holds."""
         job = self._jobs_by_work.pop(work_id, None)
         if job is None:
             return
@@ -319,12 +333,15 @@
         else:
             self._outcomes.release(job, now)
 
-    # What is known from outside
+    # Configuration and load reports
 
     def set_endpoints(
         self, endpoints_by_id: Mapping[str, Endpoint], now: float
     ) -> None:
-        """Replace the known endpoints; work on ones that vanish stays counted."""
+        """Replace the known endpoints.
+
+        Work at an endpoint that is no longer listed counts until it ends.
+        """
         self._pools.set_endpoints(endpoints_by_id, now)
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
@@ -340,5 +357,5 @@
         self._pools.set_shares(shares_by_endpoint, now)
 
     def report_load(self, load: EndpointLoad, now: float) -> None:
-        """Take one load report, which may be late or repeated."""
+        """Apply one load report, which may be late or repeated."""
         self._pools.report(load, now)
