--- a/cranberrywick/decisions/admission.py
+++ b/cranberrywick/decisions/admission.py
@@ -1,25 +1,28 @@
-"""Take what can be finished in time; refuse the rest at once and say when to return.
+"""Admit work that can be finished in time; refuse the rest with a time to retry.
 
-Load pattern: twice, or ten times, what the fleet can do.
+Load pattern: twice, or ten times, the capacity of the fleet.
 
 Without it: the queue grows until everything in it is late, the fleet works only
-for callers who have given up, and what finishes in time falls towards nothing.
-
-How: the wait is predicted from the engine time queued ahead, not from a count of
-requests, over the rate at which the endpoints drain it. Work ahead is what is
-queued that is no longer and no less urgent; an organisation that alone has a long
-queue waits behind its own, and the others are not refused for it. What could not
-make its targets is refused at arrival, and what can no longer make them is given up
-in the queue the moment that is known.
-
-The refused are told to return when the queue will have drained below what they can
-wait for, plus a random part of the time that the fleet needs for all who were
-refused lately: so they come back spread over the time in which they can be served.
-
-Grounds: predictions are corrected by the waits that came true, by at most a factor
-of four; the drain rate is that of the last ten seconds or what the endpoints should
-reach. A request is admitted for four fifths of the time it has, since a queue kept
-at exactly the target gives up whatever arrives with bad luck.
+for callers who have given up, and the share of work finished in time falls towards
+zero.
+
+How: the predicted wait is the engine time queued ahead (not the number of requests)
+divided by the rate at which the endpoints drain it. Queued work counts as ahead of a
+new request if it is neither longer nor less urgent than the request. If only one
+organisation has a long queue, its new work waits behind its own, and the others are
+not refused because of it. Work that cannot meet its targets is refused at arrival,
+and queued work is given up as soon as it can no longer meet them.
+
+A refused caller is asked to retry after the queue will have drained enough for the
+caller's targets, plus a random part of the time that the fleet needs for all recently
+refused work. Retries are thereby spread over the time in which they can be served.
+
+Grounds: predictions are corrected by the observed waits, by at most a factor of four.
+The drain rate is the number of endpoints that take the band, or, if that is less, all
+endpoints minus those that shorter bands kept busy during the last ten seconds. A
+request is admitted if its predicted wait is at most four fifths of its slack, because
+a queue kept exactly at the target gives up every request that waits a little longer
+than predicted.
 """
 
 from math import ceil, exp, log, log2
@@ -30,25 +33,33 @@
 
 __all__ = ["Admission", "EndpointCounts", "WaitKind", "wait_kind"]
 
+# Longest predicted wait that is admitted, as a share of the request's slack.
 USABLE_SLACK_SHARE = 0.8
+# Weight of one observed wait in the moving average of the correction.
 CORRECTION_RATE = 0.1
 MAX_CORRECTION_FACTOR = 4.0
-# Waits shorter than this say nothing about the drain rate.
+# Waits shorter than this many seconds say nothing about the drain rate.
 MIN_WAIT_SECONDS = 0.05
+# Time constants, in seconds, of the averages of served and of refused work.
 DRAIN_WINDOW_SECONDS = 10.0
 REFUSED_WINDOW_SECONDS = 10.0
+# Lower bounds of the drain rate: as a share of the endpoints that take the band, and
+# in engine seconds per second.
 MIN_DRAIN_SHARE = 0.1
 MIN_DRAIN_RATE = 0.1
 ROUNDING_SECONDS = 1e-6
+# Bounds, in seconds, of the time after which a refused caller is asked to retry. The
+# upper one is multiplied by a random factor between 0.5 and 1.5.
 MIN_RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 60.0
+# Time in seconds for which the pool counts as overloaded after a refusal.
 OVERLOAD_HOLD_SECONDS = 5.0
 
 
 class EndpointCounts(NamedTuple):
-    """How many endpoints drain the queue: all, and those that take one band.
+    """The number of endpoints that drain the queue: in total, and for one band.
 
-    With several daemons this one's part of them, so not whole numbers.
+    With several daemons these are this daemon's shares, so not whole numbers.
     """
 
     total: float
@@ -56,10 +67,11 @@
 
 
 class WaitKind(NamedTuple):
-    """What decides how long work waits: its length and its slack.
+    """The properties that decide how long work waits: its band and its urgency.
 
-    ``urgency`` is the doubling of seconds that its slack at arrival falls in.
-    Work waits behind what is no longer and no less urgent than itself.
+    ``urgency`` is the logarithm to base 2 of the slack at arrival in seconds, rounded
+    up; 0 is most urgent. Work waits behind work whose band and urgency are both at
+    most its own.
     """
 
     band: int
@@ -67,7 +79,7 @@
 
 
 def wait_kind(band: int, slack: float) -> WaitKind:
-    """Return the kind of work in ``band`` with ``slack`` seconds to spare.
+    """Return the kind of work in ``band`` that has to start within ``slack`` seconds.
 
     >>> wait_kind(0, slack=1.5)
     WaitKind(band=0, urgency=1)
@@ -86,7 +98,10 @@
 
 
 class Admission:
-    """Predicts waits in one pool from what is queued there."""
+    """Predicts how long new work would wait in one pool.
+
+    It keeps the queued engine time by organisation and kind, and the observed waits.
+    """
 
     def __init__(self, random: Random):
         self._random = random
@@ -99,14 +114,14 @@
         self._overloaded_at = float("-inf")
 
     def record_queued(self, organisation: str, kind: WaitKind, seconds: float) -> None:
-        """Count work that joins the queue, in seconds of engine time."""
+        """Add work that joins the queue, in seconds of engine time."""
         by_kind = self._queued_by_organisation.setdefault(organisation, {})
         by_kind[kind] = by_kind.get(kind, 0.0) + seconds
 
     def record_dequeued(
         self, organisation: str, kind: WaitKind, seconds: float
     ) -> None:
-        """Count work that leaves the queue, served or not."""
+        """Subtract work that leaves the queue, served or not."""
         by_kind = self._queued_by_organisation[organisation]
         by_kind[kind] -= seconds
         if by_kind[kind] < ROUNDING_SECONDS:
@@ -115,12 +130,12 @@
             del self._queued_by_organisation[organisation]
 
     def record_served(self, band: int, seconds: float, now: float) -> None:
-        """Count work that is sent to an endpoint."""
+        """Add work that is sent to an endpoint, in seconds of engine time."""
         self._decay_served(now)
         self._served_by_band[band] += seconds
 
     def record_wait(self, kind: WaitKind, predicted: float, actual: float) -> None:
-        """Correct the next predictions by a wait that came true."""
+        """Correct later predictions for this kind by an observed wait, in seconds."""
         if max(predicted, actual) < MIN_WAIT_SECONDS:
             return
         ratio = max(actual, MIN_WAIT_SECONDS) / max(predicted, MIN_WAIT_SECONDS)
@@ -137,7 +152,10 @@
         endpoints: EndpointCounts,
         now: float,
     ) -> float:
-        """Return the seconds that new work would wait before it is sent."""
+        """Return the time in seconds that new work would wait before it is sent.
+
+        ``seconds`` is the engine time that the new work itself needs.
+        """
         ahead = self._engine_seconds_ahead(organisation, kind, seconds)
         correction = exp(self._log_correction_by_kind.get(kind, 0.0))
         return ahead / self._drain_rate(kind.band, endpoints, now) * correction
@@ -145,10 +163,10 @@
     def _engine_seconds_ahead(
         self, organisation: str, kind: WaitKind, seconds: float
     ) -> float:
-        """Return the engine time that fair order serves before new work.
+        """Return the seconds of engine time that are served before new work.
 
-        Until an organisation's own work is done, each other one is served at most
-        as much.
+        Until the work that the organisation has queued is done, and the new work with
+        it, fair queueing serves each other organisation at most the same amount.
         """
         own_by_kind = self._queued_by_organisation.get(organisation, {})
         own = _seconds_at_or_ahead(kind, own_by_kind)
@@ -161,9 +179,10 @@
         return own + others
 
     def _drain_rate(self, band: int, endpoints: EndpointCounts, now: float) -> float:
-        """Return the engine seconds a second that are left for this band.
+        """Return the engine seconds per second that are available to this band.
 
-        Shorter bands go first, so what they have been taking is not available.
+        Shorter bands are served first, so the engine time that they have recently
+        used is not available.
         """
         self._decay_served(now)
         shorter = sum(self._served_by_band[:band]) / DRAIN_WINDOW_SECONDS
@@ -176,13 +195,13 @@
         self._served_updated_at = now
 
     def allows(self, wait: float, slack: float) -> bool:
-        """Whether work with ``slack`` seconds to spare may wait this long."""
+        """Whether work with this slack may be admitted; both are in seconds."""
         return wait <= MIN_WAIT_SECONDS or wait <= slack * USABLE_SLACK_SHARE
 
     def refuse(
         self, wait: float, slack: float, seconds: float, endpoints: float, now: float
     ) -> float:
-        """Count a refusal and return the seconds after which to come back."""
+        """Record a refusal and return the time in seconds after which to retry."""
         self._overloaded_at = now
         factor = exp(-(now - self._refused_updated_at) / REFUSED_WINDOW_SECONDS)
         self._refused_seconds = self._refused_seconds * factor + seconds
@@ -196,5 +215,5 @@
         return min(MAX_RETRY_SECONDS * (0.5 + self._random.random()), wanted)
 
     def is_overloaded(self, now: float) -> bool:
-        """Whether work was refused for want of capacity a moment ago."""
+        """Whether work was refused for lack of capacity in the last few seconds."""
         return now - self._overloaded_at < OVERLOAD_HOLD_SECONDS
