--- a/cranberrywick/decisions/choosing.py
+++ b/cranberrywick/decisions/choosing.py
@@ -1,4 +1,4 @@
-"""Which endpoint, or gang of endpoints, the head of a lane goes to now."""
+"""Choose the endpoint, or the gang of endpoints, for the head of a lane."""
 
 from collections.abc import Callable
 from random import Random
@@ -16,20 +16,23 @@
 
 __all__ = ["Chooser", "Lane", "needs_gang"]
 
-# Memory for a gang frees in seconds; planning one takes about a millisecond.
+# Shortest interval between two attempts to plan a gang, in seconds. Planning one takes
+# about a millisecond, while the memory for it takes seconds to become free.
 GANG_PLAN_INTERVAL_SECONDS = 0.1
-# Of an endpoint reserved for shorter prompts a gang leaves this part of the memory, or
-# they would find endpoints free that cannot hold them.
+# Share of its memory that a gang leaves free at an endpoint reserved for shorter
+# prompts. Otherwise those would find the endpoint open but without memory for them.
 RESERVED_MEMORY_SHARE = 0.5
-# A probe may take this many times longer than expected and still be in time.
+# A request may serve as a probe only if its slack is this many times its expected
+# prefill, so that it is in time even at a slow endpoint.
 PROBE_SLACK_RATIO = 10.0
 
 
 class Lane(NamedTuple):
-    """Work that any endpoint can take which can take one of it.
+    """Work that waits for the same endpoints: of one pool and of one band.
 
-    ``is_gang`` is for prompts above one endpoint's memory. They wait apart, since
-    nothing behind them needs what they wait for.
+    ``is_gang`` is true for prompts that exceed one endpoint's memory. They have a lane
+    of their own, so that the work behind them, which fits one endpoint, need not wait
+    until there is memory for a gang.
     """
 
     pool: PoolKey
@@ -38,14 +41,18 @@
 
 
 def needs_gang(work: Work, endpoint: Endpoint) -> bool:
-    """Whether the prompt and its answer are more than the endpoint's memory."""
+    """Whether the prompt and its longest answer exceed the endpoint's memory."""
     if endpoint.kind is EndpointKind.SERVICE:
         return False
     return work.prompt_tokens + work.max_output_tokens > endpoint.cache_tokens
 
 
 class Chooser:
-    """Tries a probe, a gang or the best of a few open endpoints."""
+    """Chooses where queued work is sent.
+
+    A prompt that exceeds one endpoint's memory gets a gang. Other work is sent as a
+    probe if one is due, else to the best of a few open endpoints.
+    """
 
     def __init__(self, fleet: Fleet, slow: SlowEndpoints, pools: Pools, random: Random):
         self._fleet = fleet
@@ -57,7 +64,7 @@
     def choose(
         self, queued: QueuedWork, attempts: Attempts, now: float
     ) -> Choice | None:
-        """Return where to send the work now, or None if nothing is free for it."""
+        """Return where to send the work now, or None if no endpoint is open for it."""
         pool = self._pools[queued.lane.pool].pool
         if queued.lane.is_gang:
             return self._choose_gang(queued.work, pool, now)
@@ -67,7 +74,10 @@
         return self._choose_open(queued, pool, attempts, now)
 
     def _probe(self, queued: QueuedWork, pool: Pool, now: float) -> Choice | None:
-        """Return an ejected endpoint to try with this short request, if one is due."""
+        """Return an ejected endpoint to probe with this request, if one is due.
+
+        Only requests of the shortest band with enough slack are used as probes.
+        """
         if queued.lane.band > 0 or not self._slow.ejected:
             return None
         slack = queued.latest_start - now
@@ -103,9 +113,9 @@
         return pool.best(work, candidates, now, allows)
 
     def _choose_gang(self, work: Work, pool: Pool, now: float) -> Choice | None:
-        """Return the leader's place, if a gang has the memory now.
+        """Return the leader's endpoint and the plan if a gang has the memory now.
 
-        This looks at every endpoint, so it is not done at every event.
+        Planning iterates over every endpoint, so it is not done at every event.
         """
         if now < self._gang_planned_at + GANG_PLAN_INTERVAL_SECONDS:
             return None
@@ -127,7 +137,7 @@
         return pool.predict(work, leader, now)._replace(gang=plan)
 
     def could_hold(self, work: Work, pool: Pool) -> bool:
-        """Whether a gang of idle endpoints could hold the prompt."""
+        """Whether a gang could hold the prompt if all its endpoints were idle."""
         plan = self._plan_gang(work, pool, lambda state: state.endpoint.cache_tokens)
         return plan is not None
 
