--- a/cranberrywick/decisions/placement.py
+++ b/cranberrywick/decisions/placement.py
@@ -1,24 +1,26 @@
-"""Where to send work: the open endpoint with the least predicted first token.
+"""Send work to the open endpoint with the earliest predicted first token.
 
 Load pattern: half of an organisation's prompts begin with a rulebook that an
 engine may still have in its prefix cache, and the rest have nothing in common.
 
-Without it: spread at random, each rulebook is read again by every engine; sent by
-hash alone, a popular rulebook overloads its one engine while others idle.
-
-How: a ring of points (consistent hashing over endpoints) names the endpoint where
-a prefix belongs, the same for every daemon. If that one is not open, the walk goes
-on along the ring for a few steps (affinity with bounded load: an endpoint that has
-its prefill full is passed by). Four more open endpoints are drawn at random, and
-the least predicted first token of them all wins, counting what this daemon believes
-to be cached there. Endpoints that take the fewest kinds of work are drawn first,
-so that a short prompt leaves the others free for long ones.
-
-Grounds: two random choices get most of what looking at all would (the wait falls
-from logarithmic to doubly logarithmic in the fleet), at a cost that does not grow
-with the fleet. Four, rather than two, look at most of what is open in a fleet of
-sixteen. Without cache news the belief is of this daemon's own sends, of the most
-recent blocks that fit half the memory.
+Without it: if prompts are placed at random, every engine has to prefill each rulebook
+again; if they are placed by hash alone, a popular rulebook overloads its one engine
+while others idle.
+
+How: consistent hashing maps a prefix to its own endpoint, the same one for every
+daemon. If that endpoint is not open, the next few on the hash ring are tried
+(affinity with bounded load: an endpoint whose prefill is busy is skipped). Four more
+open endpoints are drawn at random, and the candidate with the earliest predicted first
+token is chosen. The prediction counts what is presumably cached at each candidate.
+Random candidates come from the endpoints that take the fewest bands, so that a short
+prompt leaves the others free for long ones.
+
+Grounds: two random choices gain most of what a comparison of all endpoints would (the
+wait falls from logarithmic to doubly logarithmic in the size of the fleet), at a cost
+that does not grow with the fleet. Four, rather than two, cover most of the open
+endpoints in a fleet of sixteen. Endpoints do not report what they have cached, so each
+daemon presumes it from its own requests: the most recent blocks, up to half of the
+endpoint's memory.
 """
 
 from bisect import bisect
@@ -36,15 +38,21 @@
 
 __all__ = ["Choice", "Pool"]
 
+# Number of open endpoints that are drawn at random for each request.
 RANDOM_CHOICES = 4
 RING_POINTS_PER_ENDPOINT = 8
+# Number of ring points tried for the endpoint of a prefix, the first included.
 RING_STEPS = 4
-# Each stream at an engine slows a prefill by about this share.
+# Share by which each stream at an engine lengthens a prefill there, approximately.
 STREAM_SLOWDOWN = 1.0 / 64
 
 
 class Choice(NamedTuple):
-    """An endpoint for a request, with what was predicted."""
+    """The endpoint chosen for a request, with the predictions for it.
+
+    ``first_token_seconds`` counts from now and includes the wait for the prefills
+    ahead; with a ``gang``, the endpoint is its leader.
+    """
 
     state: EndpointState
     prefill_seconds: float
@@ -54,21 +62,24 @@
 
     @property
     def endpoint_ids(self) -> tuple[str, ...]:
-        """Where the request is sent, the leader of a gang first."""
+        """The endpoints that the request is sent to, the leader of a gang first."""
         if self.gang is not None:
             return self.gang.endpoint_ids
         return (self.state.endpoint_id,)
 
     @property
     def gang_tokens(self) -> tuple[int, ...]:
-        """What each member of a gang holds, the leader first."""
+        """The tokens that each member of the gang holds, the leader first.
+
+        Empty without a gang.
+        """
         if self.gang is None:
             return ()
         return tuple(part.tokens for part in (self.gang.leader, *self.gang.helpers))
 
 
 class _RandomSet:
-    """A set that can be drawn from at random, in constant time."""
+    """A set of strings from which a few can be drawn at random in constant time."""
 
     def __init__(self) -> None:
         self._items: list[str] = []
@@ -101,13 +112,16 @@
 
 
 class Pool:
-    """The endpoints that can take one kind of work, and which are open now."""
+    """The endpoints that can take one kind of work, and which of them are open.
+
+    An endpoint takes work of every band up to its longest band.
+    """
 
     def __init__(self, states: Iterable[EndpointState], cost: CostModel):
         self.states_by_id = {state.endpoint_id: state for state in states}
-        # Whether nobody else sends here. If others do, an endpoint of a longer part
-        # may have a long prefill that no report has shown yet, and a short prompt
-        # is not sent there for the sake of its prefix.
+        # Whether no other daemon sends to these endpoints. If others do, an endpoint
+        # that takes longer bands may have a long prefill that no report shows yet, so
+        # a short prompt is not sent there for the sake of its cached prefix.
         self.is_sole_sender = True
         self._cost = cost
         self._open_by_longest_band = [_RandomSet() for _ in range(BANDS)]
@@ -124,7 +138,7 @@
         )
 
     def inherit(self, previous: "Pool") -> None:
-        """Take over parts and beliefs of the pool that this one replaces."""
+        """Copy the bands and the presumed caches from the pool that this replaces."""
         self.set_longest_bands(
             {
                 endpoint_id: previous._longest_band_by_id[endpoint_id]
@@ -140,7 +154,7 @@
         }
 
     def set_longest_bands(self, longest_band_by_id: dict[str, int]) -> None:
-        """Say which bands each endpoint takes; those not named keep theirs."""
+        """Set the longest band of these endpoints; the others keep theirs."""
         for endpoint_id, longest in longest_band_by_id.items():
             known = self._longest_band_by_id[endpoint_id]
             if known != longest:
@@ -154,7 +168,7 @@
                 self.set_open(endpoint_id, is_open)
 
     def set_open(self, endpoint_id: str, is_open: bool) -> None:
-        """Say whether an endpoint takes work now."""
+        """Record whether an endpoint takes work now."""
         found = self._open_by_longest_band[self._longest_band_by_id[endpoint_id]]
         if is_open:
             found.add(endpoint_id)
@@ -162,7 +176,7 @@
             found.discard(endpoint_id)
 
     def has_open(self, band: int) -> bool:
-        """Whether work of ``band`` could go somewhere."""
+        """Whether an endpoint that takes work of ``band`` is open."""
         return any(self._open_by_longest_band[band:])
 
     def accepts(self, endpoint_id: str, band: int) -> bool:
@@ -174,8 +188,12 @@
         return sum(self._count_by_longest_band[band:])
 
     def candidates(self, work: Work, band: int, random: Random) -> list[str]:
-        """Return a few open endpoints: the prefix's own, and some at random."""
-        # The most confined first.
+        """Return a few open endpoints: the one for the prefix, and some at random.
+
+        Empty if none is open for ``band``.
+        """
+        # The sets are ordered by longest band, so endpoints that take the fewest bands
+        # come first.
         open_sets = self._open_by_longest_band[band:]
         for found in open_sets:
             if found:
@@ -186,7 +204,10 @@
         return []
 
     def _affinity_candidate(self, work: Work, open_sets: list[_RandomSet]) -> list[str]:
-        """Return the first open endpoint on the ring from the prefix's place."""
+        """Return the first open endpoint on the ring from the prefix's position.
+
+        The list is empty if none of the next `RING_STEPS` points has an open endpoint.
+        """
         if not work.prefix_keys or not self._ring:
             return []
         start = bisect(self._ring, (_ring_position(work.prefix_keys[0]), ""))
@@ -203,7 +224,7 @@
         now: float,
         allows: Callable[[EndpointState], bool],
     ) -> Choice | None:
-        """Return the allowed one with the least predicted first token."""
+        """Return the allowed endpoint with the earliest predicted first token."""
         best = None
         for endpoint_id in endpoint_ids:
             state = self.states_by_id[endpoint_id]
@@ -215,7 +236,7 @@
         return best
 
     def predict(self, work: Work, state: EndpointState, now: float) -> Choice:
-        """Predict the first token of ``work`` at one endpoint."""
+        """Return the predicted prefill and first token of ``work`` at one endpoint."""
         cached = self._cached_tokens(work, state.endpoint_id)
         prefill = self._cost.prefill_seconds(work, state.endpoint, cached)
         streams = len(state.outstanding_by_work)
@@ -233,7 +254,7 @@
         return hits * PREFIX_BLOCK_TOKENS
 
     def record_sent(self, work: Work, state: EndpointState) -> None:
-        """Believe the work's prefix to be cached where it was sent."""
+        """Presume that the work's prefix is cached where the work was sent."""
         blocks = self._blocks_by_endpoint.setdefault(state.endpoint_id, OrderedDict())
         for key in work.prefix_keys:
             blocks[key] = None
@@ -243,7 +264,7 @@
             blocks.popitem(last=False)
 
     def clear_cache(self, endpoint_id: str) -> None:
-        """The endpoint has started anew; nothing is cached there."""
+        """Drop the presumed cache of an endpoint that has restarted."""
         self._blocks_by_endpoint.pop(endpoint_id, None)
 
 
