--- a/cranberrywick/decisions/pools.py
+++ b/cranberrywick/decisions/pools.py
@@ -1,9 +1,9 @@
-"""The pools of like endpoints, kept in step with what is known of each endpoint.
+"""Pools of interchangeable endpoints, updated as the state of each endpoint changes.
 
 A pool holds the endpoints that can take one kind of work. Whether an endpoint is
-open changes with each event there, so it is noted in every pool at that event; what
-changes by time alone (an overdue prefill, a report that grows old, the size of the
-parts) is looked at once a second.
+open changes with each event there, so every pool is updated at that event. What
+changes with time alone (an overdue prefill, an outdated report, the number of
+endpoints reserved for short prompts) is checked once a second.
 """
 
 from collections.abc import Mapping
@@ -27,12 +27,13 @@
 
 __all__ = ["PoolKey", "PoolState", "Pools"]
 
-# Reports and own counts differ by a little even when no other daemon sends.
+# A daemon counts as the only sender if it has more than this share of the fleet's
+# requests. The reports differ a little from its own counts even if no other sends.
 SOLE_SENDER_SHARE = 0.9
 
 
 class PoolKey(NamedTuple):
-    """What an endpoint must have to take the work."""
+    """The model, adapter or service that an endpoint must have to take the work."""
 
     model: str
     adapter: str | None
@@ -40,7 +41,7 @@
 
 
 class PoolState:
-    """One pool, and the decisions that are made for it alone."""
+    """One pool with its own admission, isolation and hot organisations."""
 
     def __init__(self, random: Random):
         self.pool: Pool | None = None
@@ -50,7 +51,7 @@
 
     @property
     def sample_endpoint(self) -> Endpoint | None:
-        """Any endpoint of the pool that is still listed."""
+        """The first endpoint of the pool that is still listed, or None."""
         for state in self.pool.states_by_id.values():
             if state.listed:
                 return state.endpoint
@@ -58,7 +59,7 @@
 
 
 class Pools:
-    """Every pool, over one fleet."""
+    """All pools over the endpoints of one fleet."""
 
     def __init__(
         self, fleet: Fleet, slow: SlowEndpoints, cost: CostModel, random: Random
@@ -74,7 +75,7 @@
         return self._pools_by_key[key]
 
     def get(self, key: PoolKey, now: float) -> PoolState:
-        """Return the pool for this kind of work, made at its first request."""
+        """Return the pool for this kind of work; the first request creates it."""
         state = self._pools_by_key.get(key)
         if state is None:
             state = PoolState(self._random)
@@ -107,7 +108,7 @@
         return is_open and self._slow.admits(state.endpoint_id)
 
     def is_usable(self, state: EndpointState) -> bool:
-        """Whether the endpoint is there and as quick as its peers."""
+        """Whether the endpoint is available, and neither ejected as slow nor down."""
         return self._is_available(state) and self._slow.admits(state.endpoint_id)
 
     def _is_available(self, state: EndpointState) -> bool:
@@ -115,7 +116,7 @@
         return state.listed and not is_withdrawn
 
     def refresh(self, state: EndpointState, now: float) -> None:
-        """Note in every pool whether the endpoint is open."""
+        """Update in every pool whether the endpoint is open."""
         is_open = self.is_open(state, now)
         for pool_state in self._pools_by_key.values():
             if state.endpoint_id in pool_state.pool.states_by_id:
@@ -136,7 +137,7 @@
         self._rebuild(now)
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
-        """Replace the classes' targets, which say what is short."""
+        """Replace the classes' targets, from which the limits of the bands follow."""
         self._targets = dict(targets_by_class)
         for state in self._pools_by_key.values():
             state.isolation.set_targets(self._targets)
@@ -152,7 +153,7 @@
         self._refresh_all(now)
 
     def report(self, load: EndpointLoad, now: float) -> None:
-        """Take one load report."""
+        """Apply one load report; one of an unknown endpoint is ignored."""
         state = self._fleet.states_by_id.get(load.endpoint_id)
         if state is None:
             return
@@ -168,7 +169,7 @@
             self.refresh(state, now)
 
     def sweep(self, now: float) -> None:
-        """Look for what changes by time alone; call about once a second."""
+        """Apply what changes with time alone; call about once a second."""
         for state in self._fleet.states_by_id.values():
             self._check_overdue(state, now)
             self.refresh(state, now)
@@ -183,7 +184,7 @@
                 )
 
     def _check_overdue(self, state: EndpointState, now: float) -> None:
-        """Look at the oldest prefill there; those behind it wait for it."""
+        """Check the oldest prefill at the endpoint; later ones only wait for it."""
         if state.endpoint.kind is not EndpointKind.ENGINE:
             return
         peers = len(self._fleet.states_by_id)
