--- a/cranberrywick/decisions/fair_queue.py
+++ b/cranberrywick/decisions/fair_queue.py
@@ -1,25 +1,26 @@
-"""Whom to serve next: least slack first, fair between organisations.
+"""Order queued work by slack, with a fair share for each organisation.
 
 Load pattern: ten organisations, a few of them large, one of which now and then
 sends ten times its usual work; and short and long prompts whose targets differ a
 hundredfold.
 
-Without it: in arrival order one organisation's batch stands before everybody
-else's single request, and a summary that is due in a second waits behind a review
-that is due in three minutes. Least slack alone is worse under a hot caller, since
-whoever asks for the most urgent class gets everything.
-
-How: start-time fair queueing over organisations decides who may be served, least
-slack decides which of them is. In each lane each organisation has a tag, the engine
-time it has been given. An organisation that comes back to a lane starts at the least
-tag of those that wait there, so that an unused share is free to the others and is
-not saved up. Those within `ALLOWANCE_SECONDS` of the least tag are served by slack;
-one that is further ahead waits until the others have caught up or have nothing left
-(work-conserving).
-
-Grounds: the allowance is the engine time of a few summaries. It bounds how far an
-organisation can get ahead to that plus its one largest request; with zero, slack
-would hardly ever decide.
+Without it: in arrival order, one organisation's batch is served before every other
+organisation's single request, and a summary that is due in a second waits behind a
+review that is due in three minutes. Ordering by least slack alone is worse when one
+organisation is hot, since the one that asks for the most urgent class gets all the
+engine time.
+
+How: start-time fair queueing decides which organisations are eligible, and the least
+slack decides which of these is served. In each lane, each organisation has a tag: the
+engine time it has received. An organisation that returns to a lane starts at the
+lowest tag of those that wait there, so an unused share goes to the others and cannot
+be saved up. Organisations within `ALLOWANCE_SECONDS` of the lowest tag are eligible.
+One that is further ahead waits until the others have caught up or have no work left,
+so an endpoint never idles while work is queued (work-conserving).
+
+Grounds: the allowance is the engine time of a few summaries. An organisation can get
+ahead of the others by at most the allowance plus its largest request. With an
+allowance of zero, slack would hardly ever decide.
 """
 
 from collections.abc import Container, Hashable
@@ -31,19 +32,22 @@
 
 __all__ = ["FairQueue", "QueuedWork"]
 
-# Engine time by which an organisation may be ahead of the others that wait.
+# Engine time, in seconds, by which an eligible organisation may be ahead of the lowest
+# tag in its lane.
 ALLOWANCE_SECONDS = 2.0
-# Rebuild a heap when stale entries outnumber live ones by this much.
+# Stale entries are dropped once the heap of tags exceeds `MIN_STALE_ENTRIES` plus
+# `MAX_STALE_RATIO` entries for each queued request.
 MAX_STALE_RATIO = 4
 MIN_STALE_ENTRIES = 64
 
 
 class QueuedWork(NamedTuple):
-    """Work that waits.
+    """One queued request.
 
-    Two works may share a ``lane`` when any endpoint that can take the one can
-    take the other. ``latest_start`` is the last moment at which it can still make
-    its targets, ``cost_seconds`` the engine time it is charged.
+    Requests may share a ``lane`` if every endpoint that can take one of them can take
+    the others. ``latest_start`` is the latest time, in seconds, at which the request
+    can be sent and still meet its targets. ``cost_seconds`` is the engine time that
+    its organisation is charged for it.
     """
 
     work: Work
@@ -53,18 +57,21 @@
 
 
 class _Waiting:
-    """One organisation's work in one lane."""
+    """The queued work of one organisation in one lane."""
 
     def __init__(self, tag: float):
         self.tag = tag
-        # Changes with the tag and the head: entries under an older one are stale.
-        # Drawn from the lane's counter, so that it never comes again.
+        # Changes whenever the tag or the head does; heap entries with an older version
+        # are stale. It comes from the lane's counter, so that no version recurs.
         self.version = -1
         self.by_slack: list[tuple[float, int, str]] = []
 
 
 class _Entry(NamedTuple):
-    """An organisation in one of a lane's heaps; ``key`` is its tag or its slack."""
+    """An organisation's entry in one of a lane's heaps.
+
+    ``key`` is the organisation's tag or the latest start of its head.
+    """
 
     key: float
     version: int
@@ -72,14 +79,19 @@
 
 
 class _Lane:
-    """A fair queue of its own: organisations, by tag and by slack of their heads."""
+    """The fair queue of one lane: its organisations, by tag and by slack of the head.
+
+    An organisation's head is its request with the earliest latest start.
+    """
 
     def __init__(self) -> None:
         self.size = 0
         self.waiting_by_organisation: dict[str, _Waiting] = {}
-        # Tags outlive the work, until nobody waits in the lane.
+        # An organisation's tag is kept when it has no work left, until the lane is
+        # empty.
         self.tags_by_organisation: dict[str, float] = {}
-        # All that wait; those of them within the allowance; the rest of them.
+        # Heaps of the organisations that wait: all of them by tag, the eligible ones by
+        # latest start, and the others by tag.
         self.by_tag: list[_Entry] = []
         self.eligible: list[_Entry] = []
         self.ineligible: list[_Entry] = []
@@ -98,7 +110,7 @@
             self.replace_entries(name)
 
     def replace_entries(self, name: str) -> None:
-        """Replace the organisation's entries after its tag or its head changed."""
+        """Replace the organisation's heap entries after its tag or head changed."""
         waiting = self.waiting_by_organisation[name]
         waiting.version = next(self._order)
         entry = _Entry(waiting.tag, waiting.version, name)
@@ -122,12 +134,12 @@
         return heap[0] if heap else None
 
     def least_tag(self) -> float:
-        """Return the least tag of the organisations that wait here."""
+        """Return the lowest tag of the organisations that wait here, or 0."""
         first = self._first_current(self.by_tag)
         return first.key if first is not None else 0.0
 
     def head(self) -> str:
-        """Return the work to serve next; there must be some."""
+        """Return the id of the work to serve next; the lane must not be empty."""
         limit = self.least_tag() + ALLOWANCE_SECONDS
         while (entry := self._first_current(self.ineligible)) and entry.key <= limit:
             heappop(self.ineligible)
@@ -139,7 +151,7 @@
     def dequeue(
         self, queued: QueuedWork, charge: float, queued_ids: Container[str]
     ) -> None:
-        """Forget one work and charge its organisation."""
+        """Remove one request and charge its organisation ``charge`` seconds."""
         name = queued.work.organisation
         waiting = self.waiting_by_organisation[name]
         waiting.tag += charge
@@ -154,7 +166,7 @@
 
 
 class FairQueue:
-    """A queue with one lane for each kind of endpoint that work can go to.
+    """A queue with a lane for each set of endpoints that work can be sent to.
 
     >>> queue = FairQueue()
     >>> queue.push(QueuedWork(work, lane="drafting", latest_start=4.0, cost_seconds=1))
@@ -176,7 +188,7 @@
         return list(self._lanes_by_key)
 
     def push(self, queued: QueuedWork) -> None:
-        """Add work; a work id may be queued only once."""
+        """Add work; raise `ValueError` if its work id is queued already."""
         work_id = queued.work.work_id
         if work_id in self._queued_by_id:
             raise ValueError(f"{work_id} is queued already")
@@ -184,18 +196,24 @@
         self._lanes_by_key.setdefault(queued.lane, _Lane()).push(queued)
 
     def head(self, lane: Hashable) -> QueuedWork | None:
-        """Return the work to serve next in ``lane``, without taking it."""
+        """Return the work to serve next in ``lane``, without removing it.
+
+        Return None if the lane has no work.
+        """
         found = self._lanes_by_key.get(lane)
         return None if found is None else self._queued_by_id[found.head()]
 
     def pop(self, work_id: str) -> QueuedWork:
-        """Take work to serve it; its organisation is charged its cost."""
+        """Remove and return work to be served; its organisation is charged its cost."""
         queued = self._queued_by_id.pop(work_id)
         self._dequeue(queued, queued.cost_seconds)
         return queued
 
     def remove(self, work_id: str) -> QueuedWork | None:
-        """Take work that will not be served; nobody is charged."""
+        """Remove and return work that will not be served, without any charge.
+
+        Return None if the work is not queued.
+        """
         queued = self._queued_by_id.pop(work_id, None)
         if queued is not None:
             self._dequeue(queued, 0.0)
@@ -205,5 +223,5 @@
         lane = self._lanes_by_key[queued.lane]
         lane.dequeue(queued, charge, self._queued_by_id)
         if not lane.size:
-            # With nobody waiting all start equal again.
+            # This drops the tags too: in an empty lane all organisations are equal.
             del self._lanes_by_key[queued.lane]
