--- a/cranberrywick/decisions/gangs.py
+++ b/cranberrywick/decisions/gangs.py
@@ -1,17 +1,18 @@
-"""Prompts that need more memory than one engine has: who holds which part.
+"""Divide prompts that exceed one engine's memory among a gang of engines.
 
 Load pattern: the longest prompts need more than twice one engine's memory. Several
-engines hold a part each; one of them, the leader, generates and reaches the others'
-parts by cache export and import.
-
-Without a plan that is all or nothing, two such prompts each take one engine of the
-two that both need, and neither can go on while both hold memory. Without giving
-back on every path, each failure leaves an engine smaller until it serves nothing.
-
-Grounds for the figures: ``FREE_SHARE`` leaves a tenth of what a report calls free,
-for a report is about a second old and other daemons send meanwhile. A gang has at
-most ``MAX_MEMBERS`` engines: the longest prompts need three, and each engine more
-is one more whose failure loses the answer.
+engines hold a part each; one of them, the leader, generates the answer and reads the
+others' parts by cache export and import.
+
+Without it: if memory were not reserved all or nothing, two such prompts could each
+hold one of the two engines that both need, and neither could proceed (deadlock). If a
+reservation were not released on every path, each failure would leave an engine with
+less memory, until it could serve nothing.
+
+Grounds: ``FREE_SHARE`` leaves a tenth of the memory that a report shows as free,
+because a report is about a second old and other daemons send requests meanwhile. A
+gang has at most ``MAX_MEMBERS`` engines: the longest prompts need three, and with each
+further engine there is one more whose failure loses the answer.
 """
 
 from collections.abc import Iterable
@@ -34,7 +35,7 @@
 
 
 class Candidate(NamedTuple):
-    """An engine that may join a gang; ``free_tokens`` of its cache are free."""
+    """An engine that may join a gang, with the free tokens of its cache."""
 
     endpoint_id: str
     failure_domain: str
@@ -49,7 +50,10 @@
 
 
 class GangPlan(NamedTuple):
-    """The leader holds its part of the prompt and the whole output."""
+    """Which engine holds how many tokens of a request.
+
+    The leader's part includes the whole output.
+    """
 
     leader: Part
     helpers: tuple[Part, ...]
@@ -65,8 +69,8 @@
 ) -> GangPlan | None:
     """Return the smallest gang that can hold a request, or None.
 
-    All members are in one failure domain: the loss of any member loses the answer,
-    so that a second domain only adds a second way to lose it.
+    All members are in one failure domain: the answer is lost if any member is, so a
+    second domain would only add a further way to lose it.
 
     >>> engines = [Candidate(f"e{n}", "a", 1000) for n in range(3)]
     >>> plan_gang(1500, 100, engines).endpoint_ids
@@ -105,14 +109,18 @@
 
 
 class HoldKind(StrEnum):
-    """What is held at an engine."""
+    """The kind of a reservation, by the name under which engines list it."""
 
     EXPORT = "exports"
     IMPORT = "imports"
 
 
 class Step(NamedTuple):
-    """One reservation to make; ``source`` is the export that an import reads."""
+    """One reservation to make.
+
+    ``source`` is the export that an import reads; it is None for a reservation that
+    takes memory.
+    """
 
     endpoint_id: str
     kind: HoldKind
@@ -121,10 +129,11 @@
 
 
 class Held(NamedTuple):
-    """One reservation; ``reservation_id`` is None when its answer was lost.
+    """One reservation that an engine holds, or may hold.
 
-    Then the engine may hold it or not, and whatever it lists for this owner has to
-    be given back.
+    ``reservation_id`` is None if the engine's answer was lost. Then the engine may
+    hold the reservation or not, and whatever it lists for this owner has to be
+    released.
     """
 
     endpoint_id: str
@@ -134,12 +143,12 @@
 
 
 class GangReservation:
-    """Takes a plan's reservations one by one, and knows what to give back.
+    """The reservations of a plan: the next one to make, and those to release.
 
-    What takes memory is reserved in the order of the engines' ids, which is the
-    same for all daemons: of two gangs that want the same engines the one that gets
-    the first shared one gets the others too, so that they never hold one each. The
-    leader's imports of the others' parts take no memory and come last.
+    Memory is reserved in the order of the engines' ids, which is the same for all
+    daemons. Of two gangs that need the same engines, the one that reserves the first
+    shared engine gets the others too, so they never deadlock with one engine each. The
+    leader's imports of the other parts take no memory and come last.
 
     >>> reservation = GangReservation(plan)
     >>> while step := reservation.next_step():
@@ -159,17 +168,17 @@
 
     @property
     def held(self) -> tuple[Held, ...]:
-        """What is held or may be, in the order in which it was taken."""
+        """What the engines hold or may hold, in the order of reservation."""
         return tuple(self._held)
 
     @property
     def complete(self) -> bool:
-        """Whether everything is held, so that the request may be sent."""
+        """Whether every reservation is held, so that the request may be sent."""
         return not self._failed and self.next_step() is None
 
     @property
     def import_ids(self) -> tuple[str, ...]:
-        """The leader's imports, to be named in the request."""
+        """The ids of the leader's imports, which the request has to name."""
         return tuple(
             held.reservation_id or ""
             for held in self._held
@@ -177,7 +186,7 @@
         )
 
     def next_step(self) -> Step | None:
-        """Return the next reservation to make; None after the last or a failure."""
+        """Return the next reservation to make, or None after the last or a failure."""
         if self._failed:
             return None
         taken = len(self._held)
@@ -191,24 +200,30 @@
         return Step(self._leader_id, HoldKind.IMPORT, source.tokens, source)
 
     def taken(self, reservation_id: str) -> None:
-        """Note that the engine holds the step's reservation."""
+        """Record that the engine holds the reservation of the current step.
+
+        Raise `ValueError` if there is no current step.
+        """
         self._record(reservation_id)
 
     def refused(self) -> None:
-        """Note that the engine holds nothing for the step; the gang has failed."""
+        """Record that the engine refused the current step; the gang has failed."""
         self._failed = True
 
     def unknown(self) -> None:
-        """Note that the answer was lost: held or not, it has to be given back."""
+        """Record that the answer to the current step was lost; the gang has failed.
+
+        The reservation has to be released, since the engine may hold it.
+        """
         self._record(None)
         self._failed = True
 
     def to_release(self) -> tuple[Held, ...]:
-        """Return what has to be given back, last taken first."""
+        """Return the reservations to release, the latest first."""
         return tuple(reversed(self._held))
 
     def released(self, held: Held) -> None:
-        """Note that the engine holds it no more."""
+        """Record that the engine no longer holds this reservation."""
         self._failed = True
         self._held.remove(held)
 
