--- a/cranberrywick/decisions/slow_endpoints.py
+++ b/cranberrywick/decisions/slow_endpoints.py
@@ -1,29 +1,30 @@
-"""Find an endpoint that is much slower than its peers, or gone, and stop using it.
-
-Load pattern: one engine of sixteen becomes ten times slower and says nothing; its
-reports still look healthy, for it is merely slow.
-
-Without it: the slow engine holds a sixteenth of all prompts, so one request in
-sixteen misses its target for as long as it lasts.
-
-How: each prefill is compared with what the cost model expects for its length (so
-peers are compared at equal length), and the moving average of an endpoint's ratio
-with that of all. A prefill that is overdue counts before it ends. An endpoint that
-is `SLOW_RATIO` times slower than the rest is ejected, unless that would put more
-than a fifth of its peers out; then the load is the likelier cause. An ejected
-endpoint is probed with single short requests, and two good ones bring it back. An
-endpoint whose connection fails is down: nothing goes there until a report made
-after the failure. Where only ejected endpoints are left, they are used: a slow
-answer is better than none.
-
-Times below a tenth of a second count as that: a prefill of a few tokens takes less
-than the round trip to its endpoint, whose noise would eject a healthy one, and no
-target is missed by it.
-
-Grounds: at ten times slower the average passes a ratio of three at the second
-outcome. A wait of five seconds between probes keeps the share of a slow endpoint
-in a fleet of sixteen under one in a hundred, and at most ten seconds between
-probes brings it back well within half a minute.
+"""Detect endpoints that are down or much slower than their peers, and avoid them.
+
+Load pattern: one engine of sixteen becomes ten times slower without any error; its
+load reports still look healthy.
+
+Without it: the slow engine gets a sixteenth of all prompts, so one request in sixteen
+misses its target for as long as the slowness lasts.
+
+How: the duration of each prefill is divided by what the cost model expects for its
+length, so endpoints are compared at equal length. The moving average of an endpoint's
+ratios is compared with that of the fleet. An overdue prefill counts before it ends.
+An endpoint that is `SLOW_RATIO` times slower than the fleet is ejected, unless more
+than a fifth of the endpoints would then be ejected; in that case load is the more
+likely cause. An ejected endpoint is probed with single short requests, and two good
+probes readmit it. An endpoint whose connection fails counts as down: nothing is sent
+there until it has made a load report after the failure. If all available endpoints
+are ejected, they are readmitted, because a slow answer is better than none.
+
+Durations below a tenth of a second count as a tenth of a second. A prefill of a few
+tokens takes less time than the round trip to the endpoint, whose noise would eject a
+healthy endpoint, and such a delay makes no request miss its target.
+
+Grounds: for an endpoint that is ten times slower, the average exceeds a ratio of three
+at the second outcome. A wait of at least five seconds before a slow endpoint is probed
+again keeps its share of the requests below one in a hundred in a fleet of sixteen. As
+the wait is at most ten seconds, a recovered endpoint is readmitted well within half a
+minute.
 """
 
 from collections.abc import Iterable
@@ -33,26 +34,37 @@
 
 __all__ = ["EndpointHealth", "SlowEndpoints"]
 
+# An endpoint this many times slower than the fleet is ejected.
 SLOW_RATIO = 3.0
-# A probe this near to its peers counts as good.
+# A probe that is at most this many times slower than the fleet counts as good.
 GOOD_PROBE_RATIO = 2.0
 GOOD_PROBES_NEEDED = 2
+# Weight of one outcome in the moving average of its endpoint and of the fleet.
 LEARNING_RATE = 0.5
 FLEET_LEARNING_RATE = 0.02
+# Largest logarithm of a ratio that one outcome counts with (e**2.5, about twelvefold).
 MAX_LOG_RATIO = 2.5
 MIN_OUTCOMES = 2
 MAX_EJECTED_SHARE = 0.2
+# The interval between probes is multiplied by `PROBE_BACKOFF` after each bad probe.
 MIN_PROBE_INTERVAL_SECONDS = 5.0
 PROBE_BACKOFF = 1.5
 MAX_PROBE_INTERVAL_SECONDS = 10.0
-# An unfinished prefill is overdue past this ratio and this much time.
+# An unfinished prefill is overdue when it has taken this multiple of its expected
+# duration, at the average slowdown of the fleet, and this many seconds more.
 OVERDUE_RATIO = 4.0
 OVERDUE_SECONDS = 0.3
+# Shorter durations are compared as if they had this length, in seconds.
 MIN_COMPARED_SECONDS = 0.1
 
 
 class EndpointHealth:
-    """What is known of one endpoint's speed."""
+    """The outcomes and probes of one endpoint.
+
+    ``log_ratio`` is the moving average of the logarithm of observed over expected
+    prefill time. ``failed_at`` is the time of a connection failure that no later load
+    report has cleared.
+    """
 
     def __init__(self) -> None:
         self.log_ratio = 0.0
@@ -67,7 +79,7 @@
 
 
 class SlowEndpoints:
-    """Judges endpoints against their peers."""
+    """Ejects and readmits endpoints by comparing them with their peers."""
 
     def __init__(self) -> None:
         self._health_by_id: dict[str, EndpointHealth] = {}
@@ -76,11 +88,11 @@
 
     @property
     def ejected(self) -> frozenset[str]:
-        """The endpoints that get probes only."""
+        """The ids of the endpoints that get probes only."""
         return frozenset(self._ejected)
 
     def admits(self, endpoint_id: str) -> bool:
-        """Whether ordinary work may go to the endpoint."""
+        """Whether work other than a probe may be sent to the endpoint."""
         health = self._health_by_id.get(endpoint_id)
         return health is None or not (health.is_ejected or health.failed_at is not None)
 
@@ -93,7 +105,10 @@
         peers: int,
         now: float,
     ) -> None:
-        """Take one prefill's time and what was expected of it."""
+        """Record the observed and the expected duration of one prefill.
+
+        ``peers`` is the number of endpoints in the fleet.
+        """
         health = self._health_of(endpoint_id)
         ratio = _floored(seconds) / _floored(expected_seconds)
         observed_log_ratio = max(
@@ -118,7 +133,7 @@
         peers: int,
         now: float,
     ) -> None:
-        """Count a prefill that should have ended long ago, once."""
+        """Record a prefill as slow, once, if it is overdue."""
         expected_seconds = _floored(expected_seconds)
         limit = OVERDUE_RATIO * expected_seconds * exp(max(0.0, self._fleet_log_ratio))
         if elapsed_seconds < limit + OVERDUE_SECONDS:
@@ -152,7 +167,7 @@
         self._ejected.add(endpoint_id)
 
     def probe_due(self, now: float) -> str | None:
-        """Return an ejected endpoint that should get one short request now."""
+        """Return the id of an ejected endpoint to probe now, or None."""
         for endpoint_id in sorted(self._ejected):
             health = self._health_by_id[endpoint_id]
             due = now >= health.probe_at and health.probe_work is None
@@ -161,7 +176,7 @@
         return None
 
     def record_probe_sent(self, endpoint_id: str, work_id: str, now: float) -> None:
-        """Note which request is the probe."""
+        """Record that this request is the endpoint's probe."""
         self._health_by_id[endpoint_id].probe_work = work_id
 
     def _record_probe(
@@ -188,7 +203,7 @@
             self._readmit(endpoint_id)
 
     def record_failure(self, endpoint_id: str, work_id: str, now: float) -> None:
-        """The endpoint broke off or could not be reached."""
+        """Record that the endpoint broke off a request or could not be reached."""
         health = self._health_of(endpoint_id)
         health.failed_at = now
         if health.probe_work == work_id:
@@ -196,14 +211,21 @@
             health.probe_at = now + health.probe_interval
 
     def record_withdrawal(self, endpoint_id: str, work_id: str, now: float) -> None:
-        """A request ended without a verdict, so a probe must be sent again."""
+        """Record that a request ended without showing the endpoint's speed.
+
+        If it was the endpoint's probe, another one is sent after the probe interval.
+        """
         health = self._health_by_id.get(endpoint_id)
         if health is not None and health.probe_work == work_id:
             health.probe_work = None
             health.probe_at = now + health.probe_interval
 
     def record_report(self, load: EndpointLoad, is_new_incarnation: bool) -> None:
-        """A report made after a failure shows that the endpoint is back."""
+        """Apply a load report.
+
+        One made after a failure shows that the endpoint is up again, and one of a new
+        incarnation readmits it.
+        """
         health = self._health_by_id.get(load.endpoint_id)
         if health is None:
             return
@@ -213,24 +235,24 @@
             self._readmit(load.endpoint_id)
 
     def readmit_all(self, endpoint_ids: Iterable[str]) -> None:
-        """Use ejected endpoints again: no other is left."""
+        """Readmit those of these endpoints that are ejected."""
         for endpoint_id in endpoint_ids:
             if endpoint_id in self._ejected:
                 self._readmit(endpoint_id)
 
     def _readmit(self, endpoint_id: str) -> None:
-        """Start again with a clean record, but for a failure that still stands."""
+        """Readmit the endpoint and reset its record, except for a failure."""
         failed_at = self._health_by_id[endpoint_id].failed_at
         self._health_by_id[endpoint_id] = EndpointHealth()
         self._health_by_id[endpoint_id].failed_at = failed_at
         self._ejected.discard(endpoint_id)
 
     def tracked(self) -> tuple[str, ...]:
-        """Return the endpoints that something was noted of."""
+        """Return the ids of the endpoints that have a record."""
         return tuple(self._health_by_id)
 
     def forget(self, endpoint_id: str) -> None:
-        """The endpoint is no longer listed."""
+        """Drop the record of an endpoint that is no longer listed."""
         self._health_by_id.pop(endpoint_id, None)
         self._ejected.discard(endpoint_id)
 
