--- a/cranberrywick/decisions/outcomes.py
+++ b/cranberrywick/decisions/outcomes.py
@@ -1,7 +1,7 @@
-"""What is learned from first tokens and from the ends of attempts.
+"""Apply first tokens and the ends of attempts to the state of the endpoints.
 
-An attempt holds a slot, a place in the prefill and memory, at several endpoints for
-a gang. Whatever way it ends, all of it is given back here, in one place.
+An attempt holds a slot, a place in the prefill queue, and memory (at several endpoints
+if it has a gang). However the attempt ends, `Outcomes.release` releases all of these.
 """
 
 from cranberrywick.decisions.cost import CostModel
@@ -14,12 +14,13 @@
 
 __all__ = ["Outcomes"]
 
-# A first token cannot come sooner than this after its prefill began.
+# Lower bound of a measured prefill, in seconds: no first token arrives sooner after its
+# prefill has started.
 MIN_PREFILL_SECONDS = 1e-3
 
 
 class Outcomes:
-    """Passes what attempts show on to the cost model and the endpoints' health."""
+    """Updates the cost model, endpoint health and retry budget from attempts."""
 
     def __init__(
         self,
@@ -36,7 +37,7 @@
         self._budget = budget
 
     def first_token(self, job: Job, now: float) -> None:
-        """Learn from the prefill and open the endpoint for the next one."""
+        """Record the duration of the prefill and open the endpoint for the next one."""
         state = self.state_of(job)
         if state is None:
             return
@@ -68,7 +69,7 @@
     def succeeded(
         self, job: Job, state: EndpointState | None, result: SendResult
     ) -> None:
-        """Earn a part of a retry, and learn the length of the answer."""
+        """Credit the retry budget and update the estimates with the answer."""
         self._budget.earn()
         if state is None or result.first_token_seconds is None:
             return
@@ -81,7 +82,7 @@
     def failed(
         self, job: Job, state: EndpointState, result: SendResult, now: float
     ) -> None:
-        """Note what the failure says of the endpoint, and that it was tried."""
+        """Update the endpoint's state by the failure and count the attempt."""
         if result.leaving:
             state.mark_leaving()
         elif result.cold:
@@ -94,7 +95,7 @@
         self._pools.refresh(state, now)
 
     def release(self, job: Job, now: float) -> None:
-        """Give back all that the attempt holds."""
+        """Release everything that the attempt holds."""
         state = self.state_of(job)
         work_id = job.work.work_id
         for endpoint_id in job.choice.endpoint_ids[1:] if job.choice else ():
@@ -111,7 +112,10 @@
         self._pools.refresh(state, now)
 
     def state_of(self, job: Job) -> EndpointState | None:
-        """Return the endpoint that the job was sent to, while it is there."""
+        """Return the state of the endpoint that the job was sent to.
+
+        Return None if the job is not sent or the endpoint is no longer known.
+        """
         if job.endpoint_id is None:
             return None
         return self._fleet.states_by_id.get(job.endpoint_id)
