--- a/cranberrywick/decisions/retries.py
+++ b/cranberrywick/decisions/retries.py
@@ -1,21 +1,21 @@
-"""Which failed attempts may be made again, and how many.
+"""Decide which failed attempts are retried, within a budget.
 
-Load pattern: an engine, or a third of them, dies with dozens of requests; or the
-fleet is so full that attempts fail because they are many.
+Load pattern: an engine, or a third of all engines, fails with dozens of requests in
+progress; or the fleet is so overloaded that attempts fail for that reason.
 
-Without it: either every caller of a dead engine sees the failure, or each failure
-under overload becomes two more attempts and the overload feeds itself.
+Without it: either every caller of a failed engine sees the failure, or each failure
+under overload causes two more attempts, which increase the overload.
 
-How: an attempt is repeated only when it did not run, or when the call is
-idempotent and its caller has received nothing of it yet. A budget earns a share of
-each success; every retry spends one. There is none while the fleet refuses work
-for want of capacity, none after the third attempt, none that cannot meet the
-deadline. The next attempt avoids the failure domain that failed.
+How: a request is retried only if the attempt did not run, or if the call is idempotent
+and the caller has not yet received any of the answer. Each success adds a fraction of a
+retry to a budget, and each retry spends one. There are no retries while the fleet
+refuses work for lack of capacity, after the third attempt, or if a retry could not meet
+the deadline. The next attempt avoids the failure domains that have failed.
 
-Grounds: a tenth of the successes is the usual bound at which retries cannot double
-the load. The reserve of a hundred at most is what a third of sixteen engines
-loses when a failure domain dies at full load; it must have been earned first, but
-for the first ten.
+Grounds: with retries limited to a tenth of the successes, the usual bound, they cannot
+double the load. The budget is at most one hundred retries: that is how many requests a
+third of sixteen engines loses if a failure domain fails at full load. All but the
+first ten of them must have been earned.
 """
 
 from typing import NamedTuple
@@ -31,7 +31,7 @@
 
 
 class Attempts(NamedTuple):
-    """The failed attempts of one request, and whether one of them may have run."""
+    """The failed attempts of one request, and whether any of them may have run."""
 
     count: int = 0
     failed_domains: frozenset[str] = frozenset()
@@ -43,16 +43,16 @@
         return self.count >= MAX_ATTEMPTS
 
     def with_failure(self, domain: str, executed: Executed) -> "Attempts":
-        """Return this and one failed attempt more."""
+        """Return these attempts and one more failed attempt."""
         may_have_run = self.may_have_run or executed is not Executed.NO
         return Attempts(self.count + 1, self.failed_domains | {domain}, may_have_run)
 
 
 def may_repeat(work: Work, result: SendResult) -> bool:
-    """Whether another attempt could do no harm.
+    """Whether the request can be attempted again without harm.
 
-    A first token that came may have reached the caller, and a second answer would
-    not continue the first one's text.
+    Once a first token has arrived, it may have reached the caller, and a second answer
+    would not continue the text of the first.
     """
     if result.executed is Executed.NO:
         return True
@@ -60,7 +60,7 @@
 
 
 class RetryBudget:
-    """Retries that successes have earned.
+    """A budget of retries that grows with successes.
 
     >>> budget = RetryBudget()
     >>> budget.take(overloaded=False)
@@ -72,15 +72,18 @@
 
     @property
     def remaining(self) -> float:
-        """How many retries may still be made."""
+        """The number of retries that may still be made, not always whole."""
         return self._remaining
 
     def earn(self) -> None:
-        """Count one success."""
+        """Add the fraction of a retry that one success earns."""
         self._remaining = min(MAX_BUDGET, self._remaining + EARNED_PER_SUCCESS)
 
     def take(self, overloaded: bool) -> bool:
-        """Spend one retry if there is one and the fleet has room for it."""
+        """Spend one retry and return True, or return False if none is allowed.
+
+        None is allowed under overload or with less than one retry in the budget.
+        """
         if overloaded or self._remaining < 1.0:
             return False
         self._remaining -= 1.0
