--- a/cranberrywick/decisions/hot_organisations.py
+++ b/cranberrywick/decisions/hot_organisations.py
@@ -1,23 +1,25 @@
-"""Find the organisations that ask for more than their share of a full fleet.
+"""Detect organisations that demand more than their fair share of an overloaded fleet.
 
 Load pattern: one organisation of ten suddenly sends ten times its usual work.
 
-Without it: fair order keeps the others' work ahead in the queue, but the flood
-counts as load when the part for short prompts is sized, so that part shrinks to
-what an overloaded fleet can spare; and the hot caller is not told why it is refused.
-
-How: shares are max-min fair. What the fleet has lately served is poured over the
-organisations until each has what it asks for or all the rest have the same: that
-level is the share, and whoever asks for more is hot. Nobody is hot while the fleet
-serves all that is asked, so an idle fleet gives one organisation everything, and a
-large organisation is not hot for being large. Work of a hot organisation does not
-count in sizing the part for short prompts.
-
-Grounds: rates are averages over ten seconds, so a burst that a queue can bear is
-over before anybody is called hot, and the mark goes as quickly. A tenth more asked
-than served is within what averages over ten seconds differ by. Keeping one endpoint of
-that part open for the others was tried: it cost more of a full fleet's work (three
-in a hundred) than it gained (docs/design/scheduling.md).
+Without it: fair queueing still serves the other organisations' work first, but the
+excess work counts as load when endpoints are reserved for short prompts, so only as
+many are reserved as an overloaded fleet can spare; and the refusal does not tell the
+hot caller that its own demand is the cause.
+
+How: shares are max-min fair. The recently served engine time is divided among the
+organisations so that each gets all it demands or the same level as every other whose
+demand is not met. An organisation that demands more than this level is hot. None is
+hot while the fleet serves all demand, so an idle fleet may serve one organisation
+alone, and a large organisation is not hot merely because it is large. The work of a hot
+organisation is ignored when endpoints are reserved for short prompts.
+
+Grounds: rates are averages over ten seconds, so a burst that the queue can absorb is
+over before an organisation counts as hot, and the state ends as quickly. Averages over
+ten seconds may differ by a tenth without overload, so demand has to exceed the served
+work by more than that. Keeping one reserved endpoint open for the other organisations
+was tried: it cost more of a full fleet's work (three in a hundred) than it gained
+(docs/design/scheduling.md).
 """
 
 from collections.abc import Iterable
@@ -25,14 +27,16 @@
 
 __all__ = ["HotOrganisations", "fair_level"]
 
+# Time constant of the averages, in seconds.
 WINDOW_SECONDS = 10.0
+# The fleet is overloaded if demand is more than this multiple of the served work.
 OVERLOAD_RATIO = 1.1
-# Rates this small are forgotten, in engine seconds a second.
+# Organisations with less decayed demand than this, in engine seconds, are dropped.
 MIN_RATE = 1e-4
 
 
 def fair_level(rates: Iterable[float], capacity: float) -> float:
-    """Return the max-min fair share of ``capacity``.
+    """Return the max-min fair share of ``capacity``, or infinity if all rates fit.
 
     >>> fair_level([1.0, 2.0, 20.0], capacity=10.0)
     7.0
@@ -48,7 +52,10 @@
 
 
 class HotOrganisations:
-    """Compares what organisations ask for with what is served, in engine seconds."""
+    """The organisations whose demand exceeds their fair share of the served work.
+
+    Both are measured in seconds of engine time.
+    """
 
     def __init__(self) -> None:
         self._offered_by_organisation: dict[str, float] = {}
@@ -60,16 +67,16 @@
         return organisation in self._hot
 
     def record_offered(self, organisation: str, seconds: float) -> None:
-        """Count work that was offered, taken or not."""
+        """Add work that an organisation has offered, admitted or refused."""
         known = self._offered_by_organisation.get(organisation, 0.0)
         self._offered_by_organisation[organisation] = known + seconds
 
     def record_served(self, seconds: float) -> None:
-        """Count work that was sent to an endpoint."""
+        """Add work that was sent to an endpoint."""
         self._served_seconds += seconds
 
     def update(self, now: float) -> None:
-        """Judge again; call about once a second."""
+        """Find the hot organisations again; call about once a second."""
         factor = exp(-(now - self._updated_at) / WINDOW_SECONDS)
         self._updated_at = now
         asked = self._offered_by_organisation
