--- a/cranberrywick/decisions/cost.py
+++ b/cranberrywick/decisions/cost.py
@@ -1,19 +1,20 @@
-"""How long a prompt will take: prefill from its length, decode from its answer.
+"""Estimate how long a request takes: its prefill and its decoding.
 
 Load pattern: prompts of a thousand to a million tokens, so that requests differ a
-thousandfold and counting them says nothing about a queue.
+thousandfold in cost and their number does not measure the length of a queue.
 
 Without it: a queue of five rulebooks looks shorter than one of six summaries,
-admission promises what it cannot keep, and fairness by request count hands the
-fleet to whoever sends the longest prompts.
-
-Grounds: nominal speed comes from the endpoint's kind. It is wrong in a way that
-depends on length (attention grows with the square, small prompts pay a fixed
-price, streams slow the prefill), so the ratio of observed to nominal is learned
-for each doubling of prompt length, as a moving average of its logarithm. One
-outcome moves it by at most a tenth of `MAX_LOG_RATIO_STEP`; ten seconds of
-outliers from one endpoint therefore shift the estimate of a length by less than a
-doubling, and the slow endpoint module looks at them before they get here.
+admission accepts work that misses its targets, and fairness by request count gives
+most of the fleet to the organisation with the longest prompts.
+
+Grounds: the nominal speed comes from the endpoint's kind. Its error depends on the
+length of the prompt (attention grows with the square of it, short prompts have a
+relatively large fixed cost, streams slow the prefill). The ratio of observed to nominal
+time is therefore learned for each doubling of prompt length, as a moving average of
+its logarithm. One outcome changes it by at most a tenth of `MAX_LOG_RATIO_STEP`, so
+ten seconds of outliers from one endpoint shift the estimate for a length by less than
+a factor of two. Besides, outcomes of endpoints that `slow_endpoints` has found to be
+slow are not learned from.
 """
 
 from math import exp, log
@@ -23,32 +24,33 @@
 
 __all__ = ["PREFIX_BLOCK_TOKENS", "CostModel", "Estimate"]
 
-# Prompt tokens that one entry of `Work.prefix_keys` stands for.
+# Number of prompt tokens that one entry of `Work.prefix_keys` covers.
 PREFIX_BLOCK_TOKENS = 1024
-# What one outcome weighs in a moving average.
+# Weight of one outcome in a moving average.
 LEARNING_RATE = 0.1
-# A surprise larger than this (e**2, about sevenfold) is taken as this large.
+# Largest step of a log ratio that one outcome counts with (e**2, about sevenfold).
 MAX_LOG_RATIO_STEP = 2.0
-# Where an organisation's answers have not been seen: a quarter of the most.
+# Expected length of an answer, as a share of its maximum, until an organisation's
+# answers of the class have been observed.
 DEFAULT_OUTPUT_SHARE = 0.25
-# Fixed price of a request, for headers and the first iteration.
+# Fixed cost of a request, in seconds, for headers and the engine's first iteration.
 OVERHEAD_SECONDS = 0.005
 
 
 class Estimate(NamedTuple):
-    """What one request is expected to take on one endpoint, in seconds."""
+    """The expected duration of one request at one endpoint, in seconds."""
 
     prefill_seconds: float
     decode_seconds: float
 
     @property
     def total_seconds(self) -> float:
-        """From the start of prefill to the last token."""
+        """The time from the start of the prefill to the last token."""
         return self.prefill_seconds + self.decode_seconds
 
 
 class CostModel:
-    """Estimates corrected by outcomes.
+    """Estimates the duration of requests and corrects the estimates by outcomes.
 
     >>> model = CostModel()
     >>> estimate = model.estimate(work, endpoint, cached_tokens=0)
@@ -62,7 +64,7 @@
     def estimate(
         self, work: Work, endpoint: Endpoint, cached_tokens: int = 0
     ) -> Estimate:
-        """Return the expected times of ``work`` alone at ``endpoint``."""
+        """Return the expected times of ``work`` at ``endpoint``, without any wait."""
         decode_rate = endpoint.decode_tokens_per_second
         decode = self.output_tokens(work) / decode_rate * exp(self._log_decode_ratio)
         return Estimate(self.prefill_seconds(work, endpoint, cached_tokens), decode)
@@ -70,13 +72,13 @@
     def prefill_seconds(
         self, work: Work, endpoint: Endpoint, cached_tokens: int = 0
     ) -> float:
-        """Return the time to the first token once the endpoint turns to it."""
+        """Return the time, in seconds, from the start of prefill to the first token."""
         tokens = max(0, work.prompt_tokens - cached_tokens)
         nominal = tokens / endpoint.prefill_tokens_per_second + OVERHEAD_SECONDS
         return nominal * exp(self._log_ratio(work.prompt_tokens))
 
     def output_tokens(self, work: Work) -> float:
-        """Return the expected length of the answer."""
+        """Return the expected length of the answer, in tokens."""
         source = (work.organisation, work.class_name)
         known = self._output_by_source.get(source)
         if known is None:
@@ -86,7 +88,10 @@
     def observe_prefill(
         self, work: Work, endpoint: Endpoint, cached_tokens: int, seconds: float
     ) -> float:
-        """Learn from one prefill; return observed over expected before learning."""
+        """Update the estimates by one prefill that took ``seconds``.
+
+        Return the ratio of the observed time to the one expected before the update.
+        """
         expected = self.prefill_seconds(work, endpoint, cached_tokens)
         step = _bounded_log(seconds / expected)
         length = _length_class(work.prompt_tokens)
@@ -97,7 +102,10 @@
     def observe_answer(
         self, work: Work, endpoint: Endpoint, output_tokens: int, seconds: float
     ) -> None:
-        """Learn from a whole answer that took ``seconds`` after its first token."""
+        """Update the estimates by an answer.
+
+        The answer ended ``seconds`` after its first token.
+        """
         source = (work.organisation, work.class_name)
         known = self._output_by_source.get(source, float(output_tokens))
         known += LEARNING_RATE * (output_tokens - known)
@@ -109,7 +117,10 @@
         self._log_decode_ratio += LEARNING_RATE * step
 
     def _log_ratio(self, tokens: int) -> float:
-        """Return the learned ratio of this length, else of the nearest one."""
+        """Return the learned log ratio for this length, or else the nearest length.
+
+        Return 0 if nothing is learned yet.
+        """
         length = _length_class(tokens)
         found = self._log_ratio_by_length.get(length)
         if found is not None or not self._log_ratio_by_length:
@@ -119,7 +130,7 @@
 
 
 def _length_class(tokens: int) -> int:
-    """Return the doubling that the length falls in."""
+    """Return the number of the doubling of prompt length that ``tokens`` is in."""
     return max(1, tokens).bit_length()
 
 
