--- a/cranberrywick/decisions/baselines.py
+++ b/cranberrywick/decisions/baselines.py
@@ -1,8 +1,8 @@
-"""Baselines that the scheduling strategy is measured against.
+"""Baselines that the default strategy is compared with.
 
-Both serve in arrival order, refuse nothing that can still be sent and hold no
-view of prompt length. They are what a general proxy does; they are kept so that
-each figure of the product stands beside theirs in the same run.
+Both baselines serve in arrival order, queue every request until its deadline, and
+ignore the length of prompts, as a general-purpose proxy does. The benchmarks run them
+beside the default strategy so that figures from the same run can be compared.
 """
 
 from collections import deque
@@ -28,12 +28,13 @@
 
 __all__ = ["ArrivalOrder", "LeastOutstanding", "RoundRobin"]
 
-# A proxy without a drain estimate tells every refused caller the same.
+# Retry time, in seconds, for every refused caller: like a general-purpose proxy, a
+# baseline does not estimate how fast its queue drains.
 RETRY_AFTER_SECONDS = 1.0
 
 
 class ArrivalOrder(Strategy):
-    """Serve in arrival order; subclasses choose the endpoint in `_choose`."""
+    """Serves in arrival order; subclasses choose the endpoint in `_choose`."""
 
     def __init__(self, seed: int):
         super().__init__(seed)
@@ -46,13 +47,16 @@
         self._closed: set[str] = set()
 
     def offer(self, work: Work, now: float) -> Queued | Refused:
-        """Queue the work whatever the load."""
+        """Queue the work regardless of the load."""
         self._queue.append(work)
         self._work_by_id[work.work_id] = work
         return Queued(work.work_id)
 
     def poll(self, now: float) -> list[Send | GiveUp]:
-        """Send from the head of the queue while an endpoint has a slot."""
+        """Send from the head of the queue while an endpoint has a free slot.
+
+        Work at the head whose deadline has passed is given up.
+        """
         actions: list[Send | GiveUp] = []
         while self._queue:
             work = self._queue[0]
@@ -104,21 +108,21 @@
         return Send(work.work_id, (endpoint.endpoint_id,))
 
     def next_wake(self, now: float) -> float | None:
-        """Wake when the head of the queue runs out of time."""
+        """Return the deadline of the head of the queue, or None if it is empty."""
         return self._queue[0].deadline if self._queue else None
 
     def first_token(self, work_id: str, now: float) -> None:
-        """Ignored: a baseline learns nothing from first tokens."""
+        """Do nothing: a baseline does not use first tokens."""
 
     def finished(
         self, work_id: str, result: SendResult, now: float
     ) -> Settled | Retry | Refused:
-        """Release the slot; a baseline never retries."""
+        """Release the slot and return `Settled`; a baseline never retries."""
         self.withdraw(work_id, now)
         return Settled(work_id)
 
     def withdraw(self, work_id: str, now: float) -> None:
-        """Forget the work and release its slot."""
+        """Remove the work, queued or sent, and release its slot."""
         self._work_by_id.pop(work_id, None)
         endpoint_id = self._endpoint_by_work.pop(work_id, None)
         if endpoint_id is not None:
@@ -131,17 +135,17 @@
         self._endpoints_by_id = dict(endpoints_by_id)
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
-        """Ignored: a baseline has no targets."""
+        """Do nothing: a baseline has no targets."""
 
     def set_domains_out(self, domains: frozenset[str], now: float) -> None:
-        """Send nothing new to these failure domains."""
+        """Replace the failure domains that take no new work."""
         self._domains_out = domains
 
     def set_shares(self, shares_by_endpoint: Mapping[str, Share], now: float) -> None:
-        """Ignored: a baseline shares nothing between daemons."""
+        """Do nothing: a baseline does not coordinate with other daemons."""
 
     def report_load(self, load: EndpointLoad, now: float) -> None:
-        """Stop sending to an endpoint that says it is going."""
+        """Stop sending to an endpoint while its reports say that it is leaving."""
         if load.phase in (EndpointPhase.LEAVING, EndpointPhase.GONE):
             self._closed.add(load.endpoint_id)
         else:
@@ -150,7 +154,7 @@
 
 @register_strategy("round-robin")
 class RoundRobin(ArrivalOrder):
-    """Arrival order; endpoints in turn."""
+    """Serves in arrival order, each request at the next endpoint in order of id."""
 
     def __init__(self, seed: int):
         super().__init__(seed)
@@ -166,7 +170,10 @@
 
 @register_strategy("least-outstanding")
 class LeastOutstanding(ArrivalOrder):
-    """Arrival order; the endpoint with the fewest of our requests."""
+    """Serves in arrival order at the endpoint with the fewest outstanding requests.
+
+    Only the requests of this daemon are counted.
+    """
 
     def _choose(self, free: list[Endpoint]) -> Endpoint:
         def outstanding(endpoint: Endpoint) -> tuple[int, str]:
