--- a/cranberrywick/decisions/__init__.py
+++ b/cranberrywick/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decision modules: no network, no clock, no threads."""
+"""Scheduling decisions as pure logic, without network access, clocks or threads."""
--- a/cranberrywick/decisions/jobs.py
+++ b/cranberrywick/decisions/jobs.py
@@ -1,4 +1,4 @@
-"""One request from its offer to its end, as the scheduler keeps it."""
+"""The scheduler's record of one request, from its offer to its end."""
 
 from cranberrywick.decisions.admission import WaitKind
 from cranberrywick.decisions.fair_queue import QueuedWork
@@ -10,7 +10,12 @@
 
 
 class Job:
-    """A request that waits or has been sent; ``choice`` is where."""
+    """A request that is queued or has been sent.
+
+    ``endpoint_id`` is the endpoint of the running attempt (the leader's for a gang), or
+    None while the request is queued. ``choice`` is the latest placement.
+    ``predicted_wait`` is in seconds, ``queued_at`` is when it was last queued.
+    """
 
     def __init__(
         self, queued: QueuedWork, kind: WaitKind, predicted_wait: float, now: float
--- a/cranberrywick/decisions/strategies.py
+++ b/cranberrywick/decisions/strategies.py
@@ -1,4 +1,4 @@
-"""Every strategy that the program comes with, by name."""
+"""Create the strategies that the program provides, by name."""
 
 from cranberrywick.decisions import baselines, scheduler
 from cranberrywick.decisions.strategy import STRATEGIES, Strategy
@@ -6,12 +6,13 @@
 
 __all__ = ["make_strategy"]
 
-# Importing a module fills the registry; named here so that the import is used.
+# Importing these modules registers their strategies; naming them here keeps linters
+# from reporting the imports as unused.
 STRATEGY_MODULES = (baselines, scheduler)
 
 
 def make_strategy(name: str, seed: int) -> Strategy:
-    """Return a new strategy; raises `InvalidSettings` for an unknown name.
+    """Return a new strategy; raise `InvalidSettings` if the name is unknown.
 
     >>> make_strategy("least-outstanding", seed=1).seed
     1
--- a/cranberrywick/decisions/strategy.py
+++ b/cranberrywick/decisions/strategy.py
@@ -1,9 +1,10 @@
-"""The interface between the daemon and whatever decides where work goes.
+"""The interface between the daemon and the strategy that schedules requests.
 
-A strategy is a plain object: it is told what happened and when, and answers what
-to do. It holds no lock and starts no thread; the daemon calls it under one lock,
-the bench under a virtual clock. Strategies register by name, so that the daemon,
-the bench and the baselines are built in the same way:
+A strategy is a plain object. Its methods are called with each event and its time, and
+`Strategy.poll` returns the actions to carry out. A strategy holds no lock and starts no
+thread: the daemon calls it under one lock, the benchmarks under a virtual clock.
+Strategies are registered by name, so that the daemon and the benchmarks create the
+default strategy and the baselines in the same way:
 
 >>> strategy = STRATEGIES["least-outstanding"](seed=1)
 """
@@ -42,9 +43,9 @@
 
 
 class Strategy(ABC):
-    """Decides whom to serve, who waits, who is refused and where work goes.
+    """Decides which requests wait, which are refused, and where and when they are sent.
 
-    Every time is in seconds on one monotonic clock that the caller supplies.
+    All times are in seconds on one monotonic clock that the calling code supplies.
     """
 
     def __init__(self, seed: int):
@@ -52,39 +53,44 @@
 
     @abstractmethod
     def offer(self, work: Work, now: float) -> Queued | Refused:
-        """Take or refuse newly arrived work."""
+        """Queue or refuse newly arrived work."""
 
     @abstractmethod
     def poll(self, now: float) -> list[Send | GiveUp]:
-        """Return what to do now; call after every event and at `next_wake`."""
+        """Return the actions to carry out now.
+
+        Call it after every event and at the time that `next_wake` returns.
+        """
 
     @abstractmethod
     def next_wake(self, now: float) -> float | None:
-        """Return when `poll` must be called if nothing happens before, or None."""
+        """Return when to call `poll` if no event comes before, or None for never."""
 
     @abstractmethod
     def first_token(self, work_id: str, now: float) -> None:
-        """Note that the first token of sent work arrived."""
+        """Record that the first token of sent work has arrived."""
 
     @abstractmethod
     def finished(
         self, work_id: str, result: SendResult, now: float
     ) -> Settled | Retry | Refused:
-        """Note the end of an attempt and say whether another will be made.
+        """Record the end of an attempt and return whether another will be made.
 
-        `Refused` is answered only where the attempt did not run and no other
-        attempt can meet the targets.
+        `Refused` is returned only if the work did not run and is not attempted again.
         """
 
     @abstractmethod
     def withdraw(self, work_id: str, now: float) -> None:
-        """Forget work whose caller has gone, queued or sent."""
+        """Remove work whose caller has disconnected, queued or sent."""
 
     @abstractmethod
     def set_endpoints(
         self, endpoints_by_id: Mapping[str, Endpoint], now: float
     ) -> None:
-        """Replace the known endpoints; work on ones that vanish stays counted."""
+        """Replace the known endpoints.
+
+        Work at an endpoint that is no longer listed counts until it ends.
+        """
 
     @abstractmethod
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
@@ -100,4 +106,4 @@
 
     @abstractmethod
     def report_load(self, load: EndpointLoad, now: float) -> None:
-        """Take one load report, which may be late or repeated."""
+        """Apply one load report, which may be late or repeated."""
