--- a/tests/test_decisions_scheduler.py
+++ b/tests/test_decisions_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler as a whole, by what it answers."""
+"""Tests of the whole scheduler through the strategy interface."""
 
 from decisions_support import (
     TARGETS,
@@ -41,10 +41,12 @@
     return answers, scheduler.poll(now)
 
 
-def test_a_caller_with_urgent_work_without_end_does_not_starve_the_others():
-    """A hot organisation keeps the queue full of work that is due earlier than
-    anybody's. The other organisation's work is later by slack each time, yet after
-    the allowance it gets every second unit of engine time."""
+def test_endless_urgent_work_of_one_organisation_does_not_starve_another():
+    """By slack alone, a hot organisation's urgent work would always be served first.
+
+    Its work is always due before the other organisation's. Once it is ahead by the
+    allowance, the other organisation gets every second unit of engine time.
+    """
     queue = FairQueue()
     for index in range(200):
         hot = make_work(f"h{index}", organisation="hot")
@@ -58,8 +60,11 @@
 
 
 def test_an_unused_share_is_not_saved_up():
-    """An organisation that was away while another was served comes back as its
-    equal; it may not take the endpoints for as long as it was away."""
+    """A returning organisation must not get all endpoints for as long as it was idle.
+
+    One organisation is served while another has no work. When the other returns, both
+    get the same share.
+    """
     queue = FairQueue()
     for index in range(100):
         busy = make_work(f"b{index}", organisation="busy")
@@ -73,9 +78,12 @@
     assert 9 <= sum(q.work.organisation == "back" for q in served) <= 12
 
 
-def test_work_waits_here_until_an_endpoint_is_about_to_be_free():
-    """Three endpoints and four prompts of a second each: the fourth is not sent to
-    stand behind another one; it goes when the first of them has its first token."""
+def test_work_is_queued_until_an_endpoint_is_about_to_become_free():
+    """Work sent too early waits at one endpoint even if another becomes free first.
+
+    There are three endpoints and four prompts of half a second each. The fourth prompt
+    is sent only when one of the others has its first token.
+    """
     scheduler = make_scheduler()
     works = [make_work(f"w{i}", tokens=5_000) for i in range(4)]
     _, actions = offer_all(scheduler, works)
@@ -86,9 +94,12 @@
     assert last.endpoint_ids == actions[0].endpoint_ids
 
 
-def test_what_cannot_make_its_target_is_refused_at_arrival():
-    """The queue holds more than two seconds of work at the rate of the fleet, so a
-    prompt that must start within two is told at once when to come back."""
+def test_work_that_cannot_meet_its_target_is_refused_at_arrival():
+    """Work that is admitted behind too long a queue is late when it is served.
+
+    The queue holds more work than the fleet can do in two seconds, so prompts that
+    must start within two seconds are refused at once, each with its own retry time.
+    """
     scheduler = make_scheduler(number=1)
     works = [make_work(f"w{i}", tokens=5_000, organisation="o") for i in range(20)]
     answers, _ = offer_all(scheduler, works)
@@ -98,10 +109,13 @@
     assert len({answer.retry_after for answer in refused}) == len(refused)
 
 
-def test_queued_work_that_can_no_longer_make_it_is_given_up_at_that_moment():
-    """The endpoint is held by a long prefill for longer than predicted. The next
-    prompt's last start passes while it waits; it gets its answer then, not at its
-    deadline a minute later."""
+def test_queued_work_is_given_up_when_its_latest_start_passes():
+    """A caller must not wait until the deadline for a refusal that is certain before.
+
+    A long prefill occupies the endpoint for longer than predicted. The next prompt's
+    latest start passes while it is queued, and it is given up then, not at its
+    deadline a minute later.
+    """
     scheduler = make_scheduler(number=1)
     _, actions = offer_all(scheduler, [make_work("long", 15_000, deadline=400.0)])
     assert isinstance(actions[0], Send)
@@ -115,7 +129,7 @@
     assert scheduler.next_wake(now) is not None
 
 
-def test_a_prompt_too_long_for_its_promptness_is_held_to_its_completion_time():
+def test_a_prompt_too_long_for_its_first_token_target_may_use_its_completion_time():
     scheduler = make_scheduler(number=1)
     _, actions = offer_all(scheduler, [make_work(tokens=100_000)])
     assert isinstance(actions[0], Send)
@@ -149,8 +163,10 @@
 
 
 def test_retries_stop_when_the_budget_is_spent():
-    """Every attempt fails. The first ten requests are tried again; after that each
-    failure is final, so failures do not multiply the load."""
+    """Without a budget, failures multiply the load.
+
+    Every attempt fails. Ten retries are made; after that each failure is final.
+    """
     scheduler = make_scheduler(slots=100)
     retries = 0
     for index in range(40):
@@ -171,8 +187,8 @@
     assert retries == 10
 
 
-def test_a_domain_taken_out_gets_nothing_at_the_send():
-    """Work is already queued when the order comes; it is checked at the send."""
+def test_queued_work_is_not_sent_to_a_domain_that_was_taken_out():
+    """The domain is taken out while work is queued, so it is checked at the send."""
     scheduler = make_scheduler(number=2)
     works = [make_work(f"w{i}", tokens=5_000) for i in range(3)]
     offer_all(scheduler, works)
@@ -183,7 +199,7 @@
     assert send.endpoint_ids == ("e1",)
 
 
-def test_an_endpoint_that_refuses_as_cold_or_leaving_gets_no_more():
+def test_an_endpoint_that_refuses_as_cold_or_leaving_gets_no_more_work():
     scheduler = make_scheduler(number=2, cold_slots=0)
     for flag, work_id in (({"cold": True}, "a"), ({"leaving": True}, "b")):
         _, (send,) = offer_all(scheduler, [make_work(work_id)])
@@ -202,7 +218,7 @@
     assert sent == []
 
 
-def test_plain_services_are_bounded_by_slots_alone():
+def test_plain_services_are_limited_by_slots_alone():
     scheduler = make_strategy("cranberrywick", seed=1)
     service = make_endpoint(
         "s0", kind=EndpointKind.SERVICE, models=(), service="booking", slots=2
@@ -223,7 +239,7 @@
     assert answer.reason == RefusalReason.NO_ENDPOINT
 
 
-def test_work_on_a_vanished_endpoint_stays_counted_until_it_ends():
+def test_work_at_an_endpoint_no_longer_listed_counts_until_it_ends():
     scheduler = make_scheduler(number=1)
     offer_all(scheduler, [make_work("w")])
     scheduler.set_endpoints({}, 0.1)
@@ -231,9 +247,12 @@
     assert scheduler.next_wake(0.2) is None
 
 
-def test_a_report_of_warmth_from_before_a_cold_refusal_is_out_of_date():
-    """The endpoint turned cold again unseen and refused; a report made before that
-    arrives after it. It must not open the endpoint again."""
+def test_a_warm_report_made_before_a_cold_refusal_is_ignored():
+    """A late report must not reopen an endpoint that has become cold since.
+
+    The endpoint refuses a request as cold. After that a report arrives that was made
+    before the refusal and says that the endpoint is warm.
+    """
     scheduler = make_scheduler(number=1, cold_slots=0)
     _, (send,) = offer_all(scheduler, [make_work("w", idempotent=False)])
     refused = make_result(
@@ -252,11 +271,11 @@
     assert isinstance(scheduler.poll(5.3)[0], Send)
 
 
-def test_an_ejected_endpoint_is_used_where_no_other_is_left():
-    """A request waits for a probe's turn, though the one engine left is idle.
+def test_an_ejected_endpoint_is_used_if_no_other_is_left():
+    """Work must not wait for the next probe while the only engine left is idle.
 
-    One of two engines was ejected as slow, then the other left. A slow answer is
-    better than none: within a sweep the ejected one takes ordinary work again.
+    One of two engines is ejected as slow, then the other one leaves. A slow answer is
+    better than none, so the next sweep readmits the ejected engine.
     """
     scheduler = make_scheduler(number=2)
     for index in range(2):
@@ -269,12 +288,12 @@
     assert scheduler.poll(3.1) == [Send("w1", ("e0",))]
 
 
-def test_work_that_no_fleet_can_finish_in_time_is_not_taken_for_load():
-    """A caller is told that its organisation is over its share, though it is alone.
+def test_work_that_no_fleet_can_finish_in_time_does_not_count_as_load():
+    """A lone organisation was refused as over its share.
 
-    It asks again and again for what its class's time can't hold. Counted as load,
-    that made the organisation look hot and the fleet overloaded; the fault is in
-    the targets, and the refusal says so each time.
+    It repeatedly sent work that no endpoint can finish within the targets of its
+    class. When that counted as load, the organisation was marked hot and the fleet
+    overloaded. The targets are the cause, and every refusal has to say so.
     """
     scheduler = make_scheduler()
     for second in range(30):
@@ -285,10 +304,13 @@
         assert refused.reason is RefusalReason.CANNOT_MEET_TARGET
 
 
-def test_a_prompt_above_one_memory_takes_a_gang_and_delays_nobody_behind_it():
-    """Two engines of one domain together hold the prompt. While one is full, the
-    prompt waits, and a shorter long one that came after it is sent; when there is
-    room it is sent to both, and their memory counts as taken until it ends."""
+def test_a_prompt_above_one_memory_gets_a_gang_and_delays_no_later_work():
+    """Two engines of one domain together have the memory for the prompt.
+
+    While one of them is occupied, the prompt waits, and a shorter prompt that arrived
+    later is sent. When there is memory, the prompt is sent to both engines, and their
+    memory counts as used until it ends.
+    """
     scheduler = make_strategy("cranberrywick", seed=1)
     scheduler.set_targets(TARGETS)
     engines = {f"e{i}": make_endpoint(f"e{i}", cache_tokens=100_000) for i in range(2)}
