--- a/tests/decisions_support.py
+++ b/tests/decisions_support.py
@@ -1,4 +1,4 @@
-"""Builders that the decision tests share."""
+"""Functions that create the values used in the tests of the decision modules."""
 
 from itertools import count
 
@@ -24,7 +24,7 @@
 
 
 def make_endpoint(endpoint_id="e0", domain="d0", **changes) -> Endpoint:
-    """Return a warm-sized engine; 10,000 prompt tokens take a second."""
+    """Return an engine with four slots that prefills 10,000 tokens per second."""
     values = {
         "kind": EndpointKind.ENGINE,
         "address": "127.0.0.1:1",
@@ -37,7 +37,7 @@
 
 
 def make_work(work_id=None, tokens=1_000, arrival=0.0, **changes) -> Work:
-    """Return a request with two seconds to its first token and 60 to its end."""
+    """Return a request due to start answering 2 s and to end 60 s after ``arrival``."""
     values = {
         "organisation": "o0",
         "class_name": "summary",
@@ -51,13 +51,13 @@
 
 
 def make_load(endpoint_id="e0", at=0.0, **changes) -> EndpointLoad:
-    """Return a report of an idle warm endpoint."""
+    """Return a load report of a warm endpoint without any requests."""
     values = {"incarnation": 1, "phase": EndpointPhase.WARM}
     return EndpointLoad(endpoint_id, reported_at=at, **{**values, **changes})
 
 
 def make_result(endpoint_id="e0", **changes) -> SendResult:
-    """Return a whole answer after a tenth of a second."""
+    """Return a successful result: first token after 0.1 s, answer complete at 0.5 s."""
     values = {
         "succeeded": True,
         "executed": Executed.YES,
--- a/tests/test_baselines.py
+++ b/tests/test_baselines.py
@@ -1,11 +1,11 @@
-"""The baselines serve in arrival order and respect slots."""
+"""Tests that the baselines serve in arrival order and respect slots."""
 
 from cranberrywick.decisions.baselines import LeastOutstanding
 from cranberrywick.model import Endpoint, EndpointKind, Send, Work
 
 
 def make_work(work_id: str, arrival: float = 0.0) -> Work:
-    """Return a short request of one organisation."""
+    """Return a short request; all of them have the same organisation."""
     return Work(
         work_id=work_id,
         organisation="kask",
--- a/tests/test_decisions_modules.py
+++ b/tests/test_decisions_modules.py
@@ -1,4 +1,4 @@
-"""Each decision module by itself: the load pattern that it answers."""
+"""Tests of each decision module by itself, against the load that it is made for."""
 
 from random import Random
 
@@ -36,7 +36,7 @@
     assert model.estimate(short, endpoint).decode_seconds == pytest.approx(0.4, 0.05)
 
 
-def test_cost_counts_only_what_is_not_in_the_prefix_cache():
+def test_cost_counts_only_tokens_that_are_not_in_the_prefix_cache():
     model, work = CostModel(), make_work(tokens=100_000)
     whole = model.prefill_seconds(work, make_endpoint())
     assert model.prefill_seconds(work, make_endpoint(), 90_000) < whole / 5
@@ -46,13 +46,14 @@
     admission, kind = Admission(Random(1)), wait_kind(0, slack=2.0)
     admission.record_queued("hot", kind, 40.0)
     assert admission.predicted_wait("hot", kind, 0.1, ENDPOINTS, 0.0) == 10.0
-    # Another organisation waits for as much of the queue as it asks for itself.
+    # New work of another organisation waits only for as much of the queued work as its
+    # own engine time.
     assert admission.predicted_wait("other", kind, 0.1, ENDPOINTS, 0.0) < 0.1
     admission.record_dequeued("hot", kind, 40.0)
     assert admission.predicted_wait("hot", kind, 0.1, ENDPOINTS, 0.0) == 0.0
 
 
-def test_admission_does_not_count_what_has_more_slack_or_is_longer():
+def test_admission_does_not_count_work_that_has_more_slack_or_is_longer():
     admission, review = Admission(Random(1)), wait_kind(2, slack=170.0)
     admission.record_queued("o", review, 400.0)
     for kind in (wait_kind(0, 2.0), wait_kind(2, 6.0)):
@@ -60,7 +61,7 @@
     assert admission.predicted_wait("o", review, 10.0, ENDPOINTS, 0.0) == 100.0
 
 
-def test_admission_corrects_its_predictions_by_the_waits_that_came_true():
+def test_admission_corrects_its_predictions_by_observed_waits():
     admission, kind = Admission(Random(1)), wait_kind(0, slack=2.0)
     admission.record_queued("o", kind, 4.0)
     for _ in range(100):
@@ -70,7 +71,7 @@
     assert corrected == pytest.approx(2.0, rel=0.05)
 
 
-def test_the_refused_come_back_spread_over_the_time_that_serves_them_all():
+def test_retry_times_are_spread_over_the_time_that_serves_all_refused_work():
     admission = Admission(Random(1))
     times = [
         admission.refuse(5.0, 1.0, seconds=1.0, endpoints=4, now=0.0)
@@ -90,40 +91,45 @@
 
 
 def run_isolation(seconds, short_work, long_work, isolation=None, start=0):
-    """Feed work, in endpoints kept busy, and size the parts each second."""
+    """Record work and assign bands to endpoints once a second.
+
+    ``short_work`` and ``long_work`` are the endpoints that they keep busy.
+    """
     isolation = isolation or Isolation()
     isolation.set_targets(TARGETS)
     fleet = [make_endpoint(f"e{i:02}", f"d{i % 3}") for i in range(15)]
     for second in range(start, start + seconds):
         isolation.observe(0, short_work, float(second))
         isolation.observe(2, long_work, float(second))
-        parts = isolation.longest_bands(fleet, float(second))
-    return isolation, fleet, parts
+        longest_band_by_id = isolation.longest_bands(fleet, float(second))
+    return isolation, fleet, longest_band_by_id
 
 
-def test_isolation_keeps_a_part_of_every_domain_for_short_work():
-    _, fleet, parts = run_isolation(90, short_work=3.0, long_work=6.0)
-    kept = [e for e in fleet if parts[e.endpoint_id] == 0]
-    assert len(kept) >= 5
-    assert {e.failure_domain for e in kept} == {"d0", "d1", "d2"}
-    assert sum(parts[e.endpoint_id] == 2 for e in fleet) >= 6
+def test_isolation_reserves_endpoints_in_every_domain_for_short_work():
+    _, fleet, longest_band_by_id = run_isolation(90, short_work=3.0, long_work=6.0)
+    reserved = [e for e in fleet if longest_band_by_id[e.endpoint_id] == 0]
+    assert len(reserved) >= 5
+    assert {e.failure_domain for e in reserved} == {"d0", "d1", "d2"}
+    assert sum(longest_band_by_id[e.endpoint_id] == 2 for e in fleet) >= 6
 
 
-def test_isolation_keeps_nothing_when_one_kind_is_absent():
+def test_isolation_reserves_nothing_if_there_is_only_short_or_only_long_work():
     for short_work, long_work in ((6.0, 0.0), (0.0, 6.0)):
-        _, _, parts = run_isolation(90, short_work, long_work)
-        assert set(parts.values()) == {2}
+        _, _, longest_band_by_id = run_isolation(90, short_work, long_work)
+        assert set(longest_band_by_id.values()) == {2}
 
 
-def test_isolation_moves_by_one_endpoint_a_second_and_then_rests():
+def test_isolation_changes_by_one_endpoint_a_second_and_then_stays_constant():
     isolation, fleet, before = run_isolation(90, short_work=1.0, long_work=6.0)
     changes = []
     for second in range(90, 240):
         isolation.observe(0, 6.0, float(second))
         isolation.observe(2, 6.0, float(second))
         after = isolation.longest_bands(fleet, float(second))
-        before_kept = sum(longest == 0 for longest in before.values())
-        changes.append(sum(longest == 0 for longest in after.values()) - before_kept)
+        reserved_before = sum(longest == 0 for longest in before.values())
+        changes.append(
+            sum(longest == 0 for longest in after.values()) - reserved_before
+        )
         before = after
     assert max(changes) == 1
     assert changes[-60:] == [0] * 60
@@ -141,48 +147,53 @@
     return pool
 
 
-def place(pool, work, random, now=0.0):
+def send_to_best(pool, work, random, now=0.0):
     candidates = pool.candidates(work, 0, random)
     choice = pool.best(work, candidates, now, lambda state: True)
     pool.record_sent(work, choice.state)
     return choice
 
 
-def test_placement_returns_to_the_endpoint_that_has_the_prefix():
+def test_placement_prefers_the_endpoint_that_has_the_prefix_cached():
     pool, random = make_pool(), Random(1)
     keys = tuple(f"rulebook/{index}" for index in range(8))
     choices = [
-        place(pool, make_work(tokens=16_000, prefix_keys=keys), random)
+        send_to_best(pool, make_work(tokens=16_000, prefix_keys=keys), random)
         for _ in range(20)
     ]
     assert len({choice.state.endpoint_id for choice in choices[1:]}) == 1
     assert choices[1].cached_tokens == 8 * 1_024
 
 
-def test_placement_passes_by_a_loaded_endpoint_whatever_it_has_cached():
+def test_placement_skips_a_busy_endpoint_even_if_it_has_the_prefix_cached():
     pool, random = make_pool(), Random(1)
     keys = tuple(f"rulebook/{index}" for index in range(8))
     work = make_work(tokens=16_000, prefix_keys=keys)
-    first = place(pool, work, random).state
+    first = send_to_best(pool, work, random).state
     first.sent(make_work(tokens=500_000), 50.0, 0, now=0.0)
-    assert place(pool, work, random).state is not first
+    assert send_to_best(pool, work, random).state is not first
     pool.set_open(first.endpoint_id, False)
-    assert place(pool, work, random).state is not first
+    assert send_to_best(pool, work, random).state is not first
 
 
-def test_placement_confines_long_work_and_fills_the_kept_part_first():
+def test_placement_confines_long_work_and_sends_short_work_to_reserved_endpoints():
     pool, random = make_pool(), Random(1)
     pool.set_longest_bands({"e0": 0, "e1": 0})
-    short = {place(pool, make_work(), random).state.endpoint_id for _ in range(50)}
+    short = {
+        send_to_best(pool, make_work(), random).state.endpoint_id for _ in range(50)
+    }
     long = {c for _ in range(50) for c in pool.candidates(make_work(), 2, random)}
     assert short <= {"e0", "e1"}
     assert not long & {"e0", "e1"}
     assert pool.count_for(2) == 6
 
 
-def test_own_outstanding_work_counts_at_once_and_once():
-    """Reports lag: what this daemon sent counts before any report shows it, and a
-    report that shows it does not count it again."""
+def test_own_outstanding_work_counts_at_once_and_only_once():
+    """Reports arrive late, so sent work could be missed or counted twice.
+
+    A daemon's own work counts before any report includes it, and a report that
+    includes it does not count it again.
+    """
     state = EndpointState(make_endpoint())
     state.report(make_load(at=0.0))
     state.sent(make_work("a", tokens=20_000), 2.0, 0, now=1.0)
@@ -192,15 +203,18 @@
     assert state.backlog_seconds(2.0) == 2.0
     assert state.slots_free(2.0, shared=False) == 3
     state.report(make_load(at=2.5, running=2, prefill_tokens_waiting=50_000))
-    # Three seconds of others' work half a second ago, and two of our own.
+    # Three seconds of other daemons' work, reported half a second ago, and two seconds
+    # of this daemon's.
     assert state.backlog_seconds(3.0) == pytest.approx(4.5)
     assert state.slots_free(3.0, shared=False) == 2
     assert state.backlog_seconds(30.0) == 2.0
 
 
-def test_a_daemon_learns_which_part_of_the_work_is_its_own():
-    """One of nine daemons sees a ninth of the arrivals; what it sizes for the whole
-    fleet has to be nine times what it sees."""
+def test_a_daemon_learns_its_share_of_the_fleet_requests():
+    """Without its share, each of nine daemons would plan for a ninth of the load.
+
+    A daemon sees only its own arrivals, so it has to scale them to the whole fleet.
+    """
     fleet = Fleet()
     fleet.set_endpoints({"e0": make_endpoint(slots=100)})
     state = fleet.states_by_id["e0"]
@@ -211,7 +225,7 @@
     assert fleet.own_share == pytest.approx(1 / 9, rel=0.01)
 
 
-def test_shares_bound_cold_and_warm_endpoints():
+def test_shares_limit_cold_and_warm_endpoints():
     fleet = Fleet()
     fleet.set_endpoints({"e0": make_endpoint(slots=8, cold_slots=2)})
     state = fleet.states_by_id["e0"]
@@ -232,7 +246,7 @@
     assert state.slots_free(2.0, fleet.shared) == 8
 
 
-def test_leaving_holds_until_a_new_incarnation():
+def test_an_endpoint_is_leaving_until_a_new_incarnation():
     state = EndpointState(make_endpoint())
     state.report(make_load(at=0.0))
     state.mark_leaving()
@@ -242,7 +256,7 @@
     assert state.slots_free(6.0, shared=False) == 4
 
 
-def test_a_silently_slow_endpoint_is_ejected_probed_and_taken_back():
+def test_a_slow_endpoint_without_errors_is_ejected_probed_and_readmitted():
     slow = SlowEndpoints()
     for index in range(100):
         slow.observe(f"e{index % 16}", f"w{index}", 1.0, 1.0, peers=16, now=1.0)
@@ -291,7 +305,7 @@
         (Executed.UNKNOWN, True, 0.2, False),
     ],
 )
-def test_only_what_did_not_run_or_may_run_twice_is_repeated(
+def test_only_requests_that_did_not_run_or_may_run_twice_are_repeated(
     executed, idempotent, first_token, expected
 ):
     result = make_result(
@@ -309,7 +323,7 @@
     assert sum(budget.take(overloaded=False) for _ in range(100)) in (9, 10)
 
 
-def test_only_who_asks_for_more_than_a_full_fleet_can_share_is_hot():
+def test_only_an_organisation_above_its_share_of_an_overloaded_fleet_is_hot():
     hot = HotOrganisations()
 
     def second(now, asked_by_hot, served):
@@ -331,11 +345,12 @@
     assert "hot" not in hot
 
 
-def test_the_noise_of_tiny_prefills_ejects_nothing():
-    """Requests of one entry wait ten seconds each, though an engine is idle.
+def test_the_round_trip_of_tiny_prefills_ejects_no_endpoint():
+    """Requests of one entry waited ten seconds each while an engine was idle.
 
-    A prefill of a few tokens is expected within a tenth of a millisecond and takes
-    a round trip of five. Taken for fifty times too slow, the engine was ejected.
+    A prefill of a few tokens was expected to take a tenth of a millisecond, but the
+    round trip took five milliseconds. The engine seemed fifty times too slow and was
+    ejected.
     """
     slow = SlowEndpoints()
     for index in range(20):
