--- a/tests/test_decisions_machines.py
+++ b/tests/test_decisions_machines.py
@@ -1,4 +1,4 @@
-"""State machines: what must hold of the queue, the budget and the scheduler."""
+"""State machine tests of the invariants of the queue, the budget and the scheduler."""
 
 from random import Random
 
@@ -49,7 +49,7 @@
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """No work lost or served twice, none starved, never idle with work queued."""
+    """Work is neither lost, served twice nor starved; lanes with work have a head."""
 
     def __init__(self):
         super().__init__()
@@ -57,9 +57,10 @@
         self.queued_by_id = {}
         self.served = set()
         self.count = 0
-        # For each pair that has waited together in a lane without a break: what
-        # the first has been given there since.
-        self.given_by_pair = {}
+        # By organisation, other organisation and lane: the engine seconds that the
+        # first was served there while both had queued work, since the other was last
+        # served.
+        self.served_seconds_by_pair = {}
 
     @rule(
         organisation=ORGANISATIONS,
@@ -93,22 +94,24 @@
         assert self.queue.pop(work_id) == head
         self.served.add(work_id)
         del self.queued_by_id[work_id]
-        self.count_given(head, lane, before)
-        self.pairs_count_only_while_both_wait()
+        self.record_served_seconds(head, lane, before)
+        self.only_pairs_that_both_wait_are_recorded()
 
-    def count_given(self, head, lane, before):
+    def record_served_seconds(self, head, lane, before):
         name = head.work.organisation
         for other in before - {name}:
             pair = (name, other, lane)
-            self.given_by_pair[pair] = self.given_by_pair.get(pair, 0) + (
-                head.cost_seconds
-            )
-            # The other has been served, so it is owed nothing from before.
-            self.given_by_pair.pop((other, name, lane), None)
-            # One may join at the least tag while the other is as far ahead as it
-            # can get; then the first gets as far ahead itself.
+            self.served_seconds_by_pair[pair] = self.served_seconds_by_pair.get(
+                pair, 0
+            ) + (head.cost_seconds)
+            # This organisation is served now, so the sum for the reversed pair starts
+            # again.
+            self.served_seconds_by_pair.pop((other, name, lane), None)
+            # One organisation may join at the lowest tag while the other is at most an
+            # allowance and a largest request ahead, and may then get as far ahead
+            # itself. Hence the factor of two.
             most = 2 * (ALLOWANCE_SECONDS + LARGEST_COST)
-            assert self.given_by_pair[pair] <= most
+            assert self.served_seconds_by_pair[pair] <= most
 
     @precondition(lambda self: self.queued_by_id)
     @rule(data=st.data())
@@ -132,16 +135,16 @@
         }
 
     @invariant()
-    def pairs_count_only_while_both_wait(self):
-        for pair in list(self.given_by_pair):
+    def only_pairs_that_both_wait_are_recorded(self):
+        for pair in list(self.served_seconds_by_pair):
             name, other, lane = pair
             waiting = self.waiting(lane)
             if name not in waiting or other not in waiting:
-                del self.given_by_pair[pair]
+                del self.served_seconds_by_pair[pair]
 
 
 class RetryBudgetMachine(RuleBasedStateMachine):
-    """Retries never pass what was earned, and none is made under overload."""
+    """Retries never exceed the earned budget, and none is made under overload."""
 
     def __init__(self):
         super().__init__()
@@ -157,19 +160,19 @@
 
     @rule(overloaded=st.booleans(), number=st.integers(1, 20))
     def retry(self, overloaded, number):
-        taken = sum(self.budget.take(overloaded) for _ in range(number))
-        assert not (overloaded and taken)
-        self.retries += taken
+        allowed = sum(self.budget.take(overloaded) for _ in range(number))
+        assert not (overloaded and allowed)
+        self.retries += allowed
 
     @invariant()
-    def never_more_than_earned(self):
+    def retries_never_exceed_the_earned_budget(self):
         earned = INITIAL_BUDGET + self.successes * EARNED_PER_SUCCESS
         assert self.retries <= earned + 1e-6
         assert self.budget.remaining >= 0
 
 
 class SchedulerMachine(RuleBasedStateMachine):
-    """Whatever happens, each request gets one final answer and slots are respected."""
+    """Each request gets exactly one final answer, and slots are never exceeded."""
 
     @initialize(seed=st.integers(0, 9))
     def set_up(self, seed):
@@ -199,12 +202,12 @@
             if isinstance(action, GiveUp):
                 del self.open[action.work_id]
             else:
-                self.take(action)
+                self.record_send(action)
         wake = self.scheduler.next_wake(self.now)
         assert wake is None or wake > self.now
         assert wake is not None or not self.open
 
-    def take(self, action: Send):
+    def record_send(self, action: Send):
         work = self.open[action.work_id]
         endpoint_id = action.endpoint_ids[0]
         assert self.endpoints[endpoint_id].failure_domain not in self.domains_out
@@ -267,10 +270,10 @@
             del self.open[work_id]
         if isinstance(answer, Refused):
             assert not self.runs[work_id]
-        self.attempts_bounded(work_id, answer)
+        self.check_attempt_limit(work_id, answer)
         self.poll()
 
-    def attempts_bounded(self, work_id, answer):
+    def check_attempt_limit(self, work_id, answer):
         if isinstance(answer, Retry):
             key = f"{work_id} retries"
             self.runs[key] = self.runs.get(key, 0) + 1
@@ -278,7 +281,7 @@
 
     @precondition(lambda self: self.open)
     @rule(data=st.data())
-    def caller_goes(self, data):
+    def caller_disconnects(self, data):
         work_id = data.draw(st.sampled_from(sorted(self.open)))
         self.scheduler.withdraw(work_id, self.now)
         del self.open[work_id]
@@ -286,7 +289,7 @@
         self.poll()
 
     @rule(domains=st.sampled_from([frozenset(), frozenset({"d0"})]))
-    def operators_order(self, domains):
+    def operators_take_domains_out(self, domains):
         self.domains_out = domains
         self.scheduler.set_domains_out(domains, self.now)
         self.poll()
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: the plan, the reservations' state machine, and real engines."""
+"""Tests of gangs: the plan, the order of reservations, and running engines."""
 
 import hypothesis.strategies as st
 import pytest
@@ -50,13 +50,17 @@
 
 
 class GangMachine(RuleBasedStateMachine):
-    """Several gangs over three engines; answers are taken, refused, lost or late."""
+    """Several gangs reserve memory at three engines that grant, refuse or lose answers.
+
+    No engine's memory may be exceeded, and a gang that has ended holds nothing.
+    """
 
     def __init__(self):
         super().__init__()
         self.free = {f"e{n}": 1000 for n in range(3)}
-        # What the engines really hold, by gang and reservation id.
-        self.really_held = {}
+        # The steps that the engines hold and the memory they use, by gang and
+        # reservation id, including those whose answer was lost.
+        self.held_by_engines = {}
         self.gangs = {}
         self.numbers = iter(range(10_000))
 
@@ -72,19 +76,19 @@
 
     @precondition(lambda self: self.gangs)
     @rule(data=st.data(), answer_arrives=st.booleans())
-    def take(self, data, answer_arrives):
+    def reserve(self, data, answer_arrives):
         gang = data.draw(st.sampled_from(sorted(self.gangs)))
         reservation = self.gangs[gang]
         step = reservation.next_step()
         if step is None:
             return
-        takes = 0 if step.source else step.tokens
-        if takes > self.free[step.endpoint_id]:
+        tokens_used = 0 if step.source else step.tokens
+        if tokens_used > self.free[step.endpoint_id]:
             reservation.refused()
             return
-        self.free[step.endpoint_id] -= takes
+        self.free[step.endpoint_id] -= tokens_used
         reservation_id = f"h{next(self.numbers)}"
-        self.really_held[gang, reservation_id] = (step, takes)
+        self.held_by_engines[gang, reservation_id] = (step, tokens_used)
         if answer_arrives:
             reservation.taken(reservation_id)
         else:
@@ -93,32 +97,32 @@
     @precondition(lambda self: self.gangs)
     @rule(data=st.data())
     def end(self, data):
-        """The request ends, in whatever state its gang is."""
+        """End a request, whatever the state of its gang."""
         gang = data.draw(st.sampled_from(sorted(self.gangs)))
         reservation = self.gangs.pop(gang)
         for held in reservation.to_release():
-            for key, (step, takes) in list(self.really_held.items()):
+            for key, (step, tokens_used) in list(self.held_by_engines.items()):
                 same = (step.endpoint_id, step.kind) == (held.endpoint_id, held.kind)
                 named = held.reservation_id in (None, key[1])
                 if key[0] == gang and same and named:
-                    del self.really_held[key]
-                    self.free[step.endpoint_id] += takes
+                    del self.held_by_engines[key]
+                    self.free[step.endpoint_id] += tokens_used
             reservation.released(held)
         assert reservation.held == ()
         assert not reservation.complete
 
     @invariant()
-    def engines_never_hold_too_much(self):
+    def engine_memory_is_never_exceeded(self):
         assert all(0 <= free <= 1000 for free in self.free.values())
 
     @invariant()
     def ended_gangs_hold_nothing(self):
-        assert {gang for gang, _ in self.really_held} <= set(self.gangs)
+        assert {gang for gang, _ in self.held_by_engines} <= set(self.gangs)
         if not self.gangs:
             assert set(self.free.values()) == {1000}
 
     @invariant()
-    def memory_is_taken_in_one_order(self):
+    def memory_is_reserved_in_one_order(self):
         for reservation in self.gangs.values():
             taken = [held for held in reservation.held]
             links = [h for h in taken if h.kind is HoldKind.IMPORT][1:]
@@ -129,11 +133,11 @@
 TestGangMachine = GangMachine.TestCase
 
 
-def test_two_gangs_that_want_the_same_engines_do_not_block_each_other():
-    """Two prompts need the same two engines, each led by another, taken in turns.
+def test_two_gangs_that_need_the_same_engines_do_not_block_each_other():
+    """Two gangs that reserve in different orders would hold one engine each and fail.
 
-    The first to get the engine that both ask for first gets the other one too. In
-    another order each would hold one engine, and both would fail.
+    Two prompts need the same two engines, with different leaders, and make their
+    reservations in turns. The gang that gets the first engine gets the other one too.
     """
     free = {"e0": 1000, "e1": 1000}
     gangs = [
@@ -144,11 +148,11 @@
         for gang in gangs:
             if (step := gang.next_step()) is None:
                 continue
-            takes = 0 if step.source else step.tokens
-            if takes > free[step.endpoint_id]:
+            tokens_used = 0 if step.source else step.tokens
+            if tokens_used > free[step.endpoint_id]:
                 gang.refused()
             else:
-                free[step.endpoint_id] -= takes
+                free[step.endpoint_id] -= tokens_used
                 gang.taken("held")
     assert [gang.complete for gang in gangs] == [True, False]
     assert gangs[1].held == ()
@@ -177,25 +181,26 @@
     return plan
 
 
-def test_gang_is_held_and_given_back(engines):
+def test_gang_is_held_and_released(engines):
     with hold_gang(plan_over(engines), addresses(engines), OWNER, 60.0) as cache_id:
         assert sum(memory_used(engines)) == 2050
         assert len(cache_id.split(",")) == 3
     assert memory_used(engines) == [0, 0, 0]
 
 
-def test_gang_is_given_back_when_the_request_fails(engines):
-    """The request raises in the middle, as at a timeout or a caller's hang-up."""
+def test_gang_is_released_when_the_request_fails(engines):
+    """The request raises while the gang is held, as after a timeout or a disconnect."""
     with pytest.raises(KeyError):
         with hold_gang(plan_over(engines), addresses(engines), OWNER, 60.0):
             raise KeyError
     assert memory_used(engines) == [0, 0, 0]
 
 
-def test_full_member_gives_back_the_others(engines):
-    """The last engine has filled up since its report: it refuses its part.
+def test_refusal_by_a_full_member_releases_the_others(engines):
+    """A partly reserved gang would leave the other engines with less memory.
 
-    The request is "not run", and the engines that had agreed hold nothing.
+    The last engine has filled up since its report and refuses its part. The request
+    counts as not run, and the other engines hold nothing.
     """
     engines["e2"].standin.core.exports.add("somebody", 900, 60.0)
     with pytest.raises(EndpointRefused):
@@ -204,10 +209,10 @@
     assert memory_used(engines) == [0, 0, 900]
 
 
-def test_lost_answer_to_a_reservation_is_given_back(engines):
-    """An engine takes its part, but its answer is lost on the way.
+def test_reservation_whose_answer_is_lost_is_released(engines):
+    """An engine reserves memory, but its answer with the reservation's id is lost.
 
-    Nobody knows the reservation's id; it is found by its owner and given back.
+    Without the id, the reservation is found by its owner and released.
     """
     engines["e1"].standin.faults.set("drop_next_answer", count=1, path="/v1/cache")
     with pytest.raises(EndpointRefused):
