--- a/cranberrywick/decisions/admission.py
+++ b/cranberrywick/decisions/admission.py
@@ -170,9 +170,9 @@
         """
         own_by_kind = self._queued_by_organisation.get(organisation, {})
         own = _seconds_at_or_ahead(kind, own_by_kind)
-        most = own + seconds
+        limit = own + seconds
         others = sum(
-            min(most, _seconds_at_or_ahead(kind, by_kind))
+            min(limit, _seconds_at_or_ahead(kind, by_kind))
             for name, by_kind in self._queued_by_organisation.items()
             if name != organisation
         )
@@ -186,8 +186,8 @@
         """
         self._decay_served(now)
         shorter = sum(self._served_by_band[:band]) / DRAIN_WINDOW_SECONDS
-        left = min(endpoints.for_band, endpoints.total - shorter)
-        return max(left, endpoints.for_band * MIN_DRAIN_SHARE, MIN_DRAIN_RATE)
+        available = min(endpoints.for_band, endpoints.total - shorter)
+        return max(available, endpoints.for_band * MIN_DRAIN_SHARE, MIN_DRAIN_RATE)
 
     def _decay_served(self, now: float) -> None:
         factor = exp(-(now - self._served_updated_at) / DRAIN_WINDOW_SECONDS)
--- a/cranberrywick/decisions/choosing.py
+++ b/cranberrywick/decisions/choosing.py
@@ -136,7 +136,7 @@
             return None
         return pool.predict(work, leader, now)._replace(gang=plan)
 
-    def could_hold(self, work: Work, pool: Pool) -> bool:
+    def gang_could_hold(self, work: Work, pool: Pool) -> bool:
         """Whether a gang could hold the prompt if all its endpoints were idle."""
         plan = self._plan_gang(work, pool, lambda state: state.endpoint.cache_tokens)
         return plan is not None
--- a/cranberrywick/decisions/fair_queue.py
+++ b/cranberrywick/decisions/fair_queue.py
@@ -200,8 +200,8 @@
 
         Return None if the lane has no work.
         """
-        found = self._lanes_by_key.get(lane)
-        return None if found is None else self._queued_by_id[found.head()]
+        lane_queue = self._lanes_by_key.get(lane)
+        return None if lane_queue is None else self._queued_by_id[lane_queue.head()]
 
     def pop(self, work_id: str) -> QueuedWork:
         """Remove and return work to be served; its organisation is charged its cost."""
--- a/cranberrywick/decisions/hot_organisations.py
+++ b/cranberrywick/decisions/hot_organisations.py
@@ -31,7 +31,7 @@
 WINDOW_SECONDS = 10.0
 # The fleet is overloaded if demand is more than this multiple of the served work.
 OVERLOAD_RATIO = 1.1
-# Organisations with less decayed demand than this, in engine seconds, are dropped.
+# An organisation is dropped when its decayed demand is this small, in engine seconds.
 MIN_RATE = 1e-4
 
 
@@ -42,12 +42,12 @@
     7.0
     """
     ordered = sorted(rates)
-    left = capacity
+    remaining = capacity
     for index, rate in enumerate(ordered):
-        share = left / (len(ordered) - index)
+        share = remaining / (len(ordered) - index)
         if rate >= share:
             return share
-        left -= rate
+        remaining -= rate
     return float("inf")
 
 
@@ -79,13 +79,17 @@
         """Find the hot organisations again; call about once a second."""
         factor = exp(-(now - self._updated_at) / WINDOW_SECONDS)
         self._updated_at = now
-        asked = self._offered_by_organisation
-        total = sum(asked.values())
+        demand_by_organisation = self._offered_by_organisation
+        total = sum(demand_by_organisation.values())
         level = float("inf")
         if total > OVERLOAD_RATIO * self._served_seconds:
-            level = fair_level(asked.values(), self._served_seconds)
-        self._hot = frozenset(name for name, rate in asked.items() if rate > level)
+            level = fair_level(demand_by_organisation.values(), self._served_seconds)
+        self._hot = frozenset(
+            name for name, rate in demand_by_organisation.items() if rate > level
+        )
         self._served_seconds *= factor
         self._offered_by_organisation = {
-            name: rate * factor for name, rate in asked.items() if rate > MIN_RATE
+            name: rate * factor
+            for name, rate in demand_by_organisation.items()
+            if rate > MIN_RATE
         }
--- a/cranberrywick/decisions/isolation.py
+++ b/cranberrywick/decisions/isolation.py
@@ -154,7 +154,7 @@
             return 0.0
         spare = max(0.0, number - busy - longer)
         wanted = busy + min(STAFFING_COEFFICIENT * sqrt(busy), MAX_SPARE_SHARE * spare)
-        # Under overload, shorter and longer work are cut in the same proportion.
+        # Under overload, shorter and longer work lose capacity in the same proportion.
         return max(1.0, min(wanted, number * busy / (busy + longer) + spare))
 
 
--- a/cranberrywick/decisions/placement.py
+++ b/cranberrywick/decisions/placement.py
@@ -156,24 +156,24 @@
     def set_longest_bands(self, longest_band_by_id: dict[str, int]) -> None:
         """Set the longest band of these endpoints; the others keep theirs."""
         for endpoint_id, longest in longest_band_by_id.items():
-            known = self._longest_band_by_id[endpoint_id]
-            if known != longest:
+            current = self._longest_band_by_id[endpoint_id]
+            if current != longest:
                 is_open = (
-                    endpoint_id in self._open_by_longest_band[known]._index_by_item
+                    endpoint_id in self._open_by_longest_band[current]._index_by_item
                 )
                 self.set_open(endpoint_id, False)
                 self._longest_band_by_id[endpoint_id] = longest
-                self._count_by_longest_band[known] -= 1
+                self._count_by_longest_band[current] -= 1
                 self._count_by_longest_band[longest] += 1
                 self.set_open(endpoint_id, is_open)
 
     def set_open(self, endpoint_id: str, is_open: bool) -> None:
         """Record whether an endpoint takes work now."""
-        found = self._open_by_longest_band[self._longest_band_by_id[endpoint_id]]
+        open_set = self._open_by_longest_band[self._longest_band_by_id[endpoint_id]]
         if is_open:
-            found.add(endpoint_id)
+            open_set.add(endpoint_id)
         else:
-            found.discard(endpoint_id)
+            open_set.discard(endpoint_id)
 
     def has_open(self, band: int) -> bool:
         """Whether an endpoint that takes work of ``band`` is open."""
@@ -195,10 +195,10 @@
         # The sets are ordered by longest band, so endpoints that take the fewest bands
         # come first.
         open_sets = self._open_by_longest_band[band:]
-        for found in open_sets:
-            if found:
-                affinity_sets = open_sets if self.is_sole_sender else [found]
-                return self._affinity_candidate(work, affinity_sets) + found.draw(
+        for open_set in open_sets:
+            if open_set:
+                affinity_sets = open_sets if self.is_sole_sender else [open_set]
+                return self._affinity_candidate(work, affinity_sets) + open_set.draw(
                     RANDOM_CHOICES, random
                 )
         return []
@@ -213,7 +213,7 @@
         start = bisect(self._ring, (_ring_position(work.prefix_keys[0]), ""))
         for step in range(RING_STEPS):
             endpoint_id = self._ring[(start + step) % len(self._ring)][1]
-            if any(endpoint_id in found for found in open_sets):
+            if any(endpoint_id in open_set for open_set in open_sets):
                 return [endpoint_id]
         return []
 
--- a/cranberrywick/decisions/retries.py
+++ b/cranberrywick/decisions/retries.py
@@ -24,6 +24,7 @@
 
 __all__ = ["Attempts", "RetryBudget", "may_repeat"]
 
+# All in retries: what one success adds to the budget, and its initial and largest size.
 EARNED_PER_SUCCESS = 0.1
 INITIAL_BUDGET = 10.0
 MAX_BUDGET = 100.0
--- a/cranberrywick/decisions/scheduler.py
+++ b/cranberrywick/decisions/scheduler.py
@@ -45,8 +45,8 @@
 __all__ = ["Scheduler"]
 
 SWEEP_INTERVAL_SECONDS = 1.0
-# Mean time, in seconds, after which a caller may retry when overload was not the cause
-# of the refusal: only a new endpoint or changed targets would admit the work.
+# Mean retry time, in seconds, of refusals that overload did not cause. Waiting alone
+# changes nothing there: the work needs a new endpoint or changed targets.
 NO_OVERLOAD_RETRY_SECONDS = 5.0
 # Time reserved for a prefill, as a multiple of its expected duration. The expectation
 # is a mean: streams and cache misses make one prefill in twenty this slow.
@@ -91,7 +91,7 @@
         if endpoint is None:
             return self._refuse_without_overload(work, RefusalReason.NO_ENDPOINT)
         is_gang = needs_gang(work, endpoint)
-        if is_gang and not self._chooser.could_hold(work, state.pool):
+        if is_gang and not self._chooser.gang_could_hold(work, state.pool):
             return self._refuse_without_overload(work, RefusalReason.NO_ENDPOINT)
         estimate = self._cost.estimate(work, endpoint)
         band = state.isolation.band(estimate.prefill_seconds)
@@ -128,8 +128,8 @@
 
     def _refuse_without_overload(self, work: Work, reason: RefusalReason) -> Refused:
         """Return a refusal that does not count as a sign of overload."""
-        after = NO_OVERLOAD_RETRY_SECONDS * (0.5 + self._random.random())
-        return Refused(work.work_id, reason, after)
+        retry_after = NO_OVERLOAD_RETRY_SECONDS * (0.5 + self._random.random())
+        return Refused(work.work_id, reason, retry_after)
 
     @staticmethod
     def _latest_start(work: Work, prefill_seconds: float, now: float) -> float:
@@ -151,12 +151,12 @@
         now: float,
     ) -> Refused:
         admission = state.admission
-        number = self._fleet.own_share * len(state.pool.states_by_id)
+        endpoint_count = self._fleet.own_share * len(state.pool.states_by_id)
         reason = RefusalReason.CANNOT_MEET_TARGET
         if work.organisation in state.hot_organisations:
             reason = RefusalReason.ORGANISATION_OVER_SHARE
-        after = admission.refuse(wait, slack, seconds, number, now)
-        return Refused(work.work_id, reason, after)
+        retry_after = admission.refuse(wait, slack, seconds, endpoint_count, now)
+        return Refused(work.work_id, reason, retry_after)
 
     def _enqueue(self, job: Job) -> None:
         queued = job.queued
--- a/cranberrywick/decisions/slow_endpoints.py
+++ b/cranberrywick/decisions/slow_endpoints.py
@@ -46,7 +46,8 @@
 MAX_LOG_RATIO = 2.5
 MIN_OUTCOMES = 2
 MAX_EJECTED_SHARE = 0.2
-# The interval between probes is multiplied by `PROBE_BACKOFF` after each bad probe.
+# The wait before the next probe starts at the minimum when an endpoint is ejected. Each
+# bad probe multiplies it by `PROBE_BACKOFF`, up to the maximum.
 MIN_PROBE_INTERVAL_SECONDS = 5.0
 PROBE_BACKOFF = 1.5
 MAX_PROBE_INTERVAL_SECONDS = 10.0
@@ -71,11 +72,11 @@
         self.outcomes = 0
         self.is_ejected = False
         self.failed_at: float | None = None
-        self.probe_at = 0.0
+        self.next_probe_at = 0.0
         self.probe_interval = MIN_PROBE_INTERVAL_SECONDS
-        self.probe_work: str | None = None
+        self.probe_work_id: str | None = None
         self.good_probes = 0
-        self.overdue_work: str | None = None
+        self.overdue_work_id: str | None = None
 
 
 class SlowEndpoints:
@@ -117,7 +118,7 @@
         if health.is_ejected:
             self._record_probe(endpoint_id, health, work_id, observed_log_ratio, now)
             return
-        if health.overdue_work == work_id:
+        if health.overdue_work_id == work_id:
             return
         self._fleet_log_ratio += FLEET_LEARNING_RATE * (
             observed_log_ratio - self._fleet_log_ratio
@@ -139,9 +140,9 @@
         if elapsed_seconds < limit + OVERDUE_SECONDS:
             return
         health = self._health_of(endpoint_id)
-        if health.is_ejected or health.overdue_work == work_id:
+        if health.is_ejected or health.overdue_work_id == work_id:
             return
-        health.overdue_work = work_id
+        health.overdue_work_id = work_id
         observed_log_ratio = min(MAX_LOG_RATIO, log(elapsed_seconds / expected_seconds))
         self._record_ratio(endpoint_id, health, observed_log_ratio, peers, now)
 
@@ -155,29 +156,29 @@
     ) -> None:
         health.outcomes += 1
         health.log_ratio += LEARNING_RATE * (observed_log_ratio - health.log_ratio)
-        slower = health.log_ratio - self._fleet_log_ratio
-        if slower < log(SLOW_RATIO) or health.outcomes < MIN_OUTCOMES:
+        relative_log_ratio = health.log_ratio - self._fleet_log_ratio
+        if relative_log_ratio < log(SLOW_RATIO) or health.outcomes < MIN_OUTCOMES:
             return
         if len(self._ejected) + 1 > max(1.0, MAX_EJECTED_SHARE * peers):
             return
         health.is_ejected = True
         health.good_probes = 0
         health.probe_interval = MIN_PROBE_INTERVAL_SECONDS
-        health.probe_at = now + health.probe_interval
+        health.next_probe_at = now + health.probe_interval
         self._ejected.add(endpoint_id)
 
     def probe_due(self, now: float) -> str | None:
         """Return the id of an ejected endpoint to probe now, or None."""
         for endpoint_id in sorted(self._ejected):
             health = self._health_by_id[endpoint_id]
-            due = now >= health.probe_at and health.probe_work is None
+            due = now >= health.next_probe_at and health.probe_work_id is None
             if due and health.failed_at is None:
                 return endpoint_id
         return None
 
     def record_probe_sent(self, endpoint_id: str, work_id: str, now: float) -> None:
         """Record that this request is the endpoint's probe."""
-        self._health_by_id[endpoint_id].probe_work = work_id
+        self._health_by_id[endpoint_id].probe_work_id = work_id
 
     def _record_probe(
         self,
@@ -187,18 +188,18 @@
         observed_log_ratio: float,
         now: float,
     ) -> None:
-        if health.probe_work != work_id:
+        if health.probe_work_id != work_id:
             return
-        health.probe_work = None
+        health.probe_work_id = None
         if observed_log_ratio - self._fleet_log_ratio > log(GOOD_PROBE_RATIO):
             health.good_probes = 0
             health.probe_interval = min(
                 MAX_PROBE_INTERVAL_SECONDS, health.probe_interval * PROBE_BACKOFF
             )
-            health.probe_at = now + health.probe_interval
+            health.next_probe_at = now + health.probe_interval
             return
         health.good_probes += 1
-        health.probe_at = now
+        health.next_probe_at = now
         if health.good_probes >= GOOD_PROBES_NEEDED:
             self._readmit(endpoint_id)
 
@@ -206,9 +207,9 @@
         """Record that the endpoint broke off a request or could not be reached."""
         health = self._health_of(endpoint_id)
         health.failed_at = now
-        if health.probe_work == work_id:
-            health.probe_work = None
-            health.probe_at = now + health.probe_interval
+        if health.probe_work_id == work_id:
+            health.probe_work_id = None
+            health.next_probe_at = now + health.probe_interval
 
     def record_withdrawal(self, endpoint_id: str, work_id: str, now: float) -> None:
         """Record that a request ended without showing the endpoint's speed.
@@ -216,9 +217,9 @@
         If it was the endpoint's probe, another one is sent after the probe interval.
         """
         health = self._health_by_id.get(endpoint_id)
-        if health is not None and health.probe_work == work_id:
-            health.probe_work = None
-            health.probe_at = now + health.probe_interval
+        if health is not None and health.probe_work_id == work_id:
+            health.probe_work_id = None
+            health.next_probe_at = now + health.probe_interval
 
     def record_report(self, load: EndpointLoad, is_new_incarnation: bool) -> None:
         """Apply a load report.
--- a/tests/test_decisions_modules.py
+++ b/tests/test_decisions_modules.py
@@ -326,22 +326,22 @@
 def test_only_an_organisation_above_its_share_of_an_overloaded_fleet_is_hot():
     hot = HotOrganisations()
 
-    def second(now, asked_by_hot, served):
-        hot.record_offered("hot", asked_by_hot)
+    def second(now, demand_of_hot, served):
+        hot.record_offered("hot", demand_of_hot)
         hot.record_offered("large", 3.0)
         hot.record_offered("small", 1.0)
         hot.record_served(served)
         hot.update(now)
 
     for now in range(30):
-        second(float(now), asked_by_hot=12.0, served=16.0)
+        second(float(now), demand_of_hot=12.0, served=16.0)
         assert "hot" not in hot
     for now in range(30, 60):
-        second(float(now), asked_by_hot=30.0, served=16.0)
+        second(float(now), demand_of_hot=30.0, served=16.0)
     assert "hot" in hot
     assert "large" not in hot
     for now in range(60, 90):
-        second(float(now), asked_by_hot=0.0, served=4.0)
+        second(float(now), demand_of_hot=0.0, served=4.0)
     assert "hot" not in hot
 
 
