--- a/cranberrywick/decisions/fair_queue.py
+++ b/cranberrywick/decisions/fair_queue.py
@@ -12,11 +12,12 @@
 
 How: start-time fair queueing decides which organisations are eligible, and the least
 slack decides which of these is served. In each lane, each organisation has a tag: the
-engine time it has received. An organisation that returns to a lane starts at the
-lowest tag of those that wait there, so an unused share goes to the others and cannot
-be saved up. Organisations within `ALLOWANCE_SECONDS` of the lowest tag are eligible.
-One that is further ahead waits until the others have caught up or have no work left,
-so an endpoint never idles while work is queued (work-conserving).
+engine time it has received. An organisation that returns to a lane starts at its
+earlier tag or, if that is higher, at the lowest tag of those that wait there, so an
+unused share goes to the others and cannot be saved up. Organisations within
+`ALLOWANCE_SECONDS` of the lowest tag are eligible. One that is further ahead waits
+until the others have caught up or have no work left, so the queue never withholds
+work from a free endpoint (work-conserving).
 
 Grounds: the allowance is the engine time of a few summaries. An organisation can get
 ahead of the others by at most the allowance plus its largest request. With an
--- a/cranberrywick/decisions/isolation.py
+++ b/cranberrywick/decisions/isolation.py
@@ -56,7 +56,9 @@
 
 
 def band_of(prefill_seconds: float, tightest_target: float) -> int:
-    """Return the band of a prompt that takes ``prefill_seconds``; 0 is shortest.
+    """Return the band of a prompt by its predicted prefill time; 0 is the shortest.
+
+    Both arguments are in seconds.
 
     >>> band_of(0.1, tightest_target=1.7), band_of(20.0, tightest_target=1.7)
     (0, 2)
--- a/tests/test_decisions_machines.py
+++ b/tests/test_decisions_machines.py
@@ -110,8 +110,8 @@
             # One organisation may join at the lowest tag while the other is at most an
             # allowance and a largest request ahead, and may then get as far ahead
             # itself. Hence the factor of two.
-            most = 2 * (ALLOWANCE_SECONDS + LARGEST_COST)
-            assert self.served_seconds_by_pair[pair] <= most
+            limit = 2 * (ALLOWANCE_SECONDS + LARGEST_COST)
+            assert self.served_seconds_by_pair[pair] <= limit
 
     @precondition(lambda self: self.queued_by_id)
     @rule(data=st.data())
