--- a/cranberrywick/decisions/fair_queue.py
+++ b/cranberrywick/decisions/fair_queue.py
@@ -1,25 +1,27 @@
-"""Whom to serve next: least slack first, fair between organisations.
+"""Order queued work by slack, with a fair share for each organisation.
 
 Load pattern: ten organisations, a few of them large, one of which now and then
 sends ten times its usual work; and short and long prompts whose targets differ a
 hundredfold.
 
-Without it: in arrival order one organisation's batch stands before everybody
-else's single request, and a summary that is due in a second waits behind a review
-that is due in three minutes. Least slack alone is worse under a hot caller, since
-whoever asks for the most urgent class gets everything.
-
-How: start-time fair queueing over organisations decides who may be served, least
-slack decides which of them is. In each lane each organisation has a tag, the engine
-time it has been given. An organisation that comes back to a lane starts at the least
-tag of those that wait there, so that an unused share is free to the others and is
-not saved up. Those within `ALLOWANCE_SECONDS` of the least tag are served by slack;
-one that is further ahead waits until the others have caught up or have nothing left
-(work-conserving).
-
-Grounds: the allowance is the engine time of a few summaries. It bounds how far an
-organisation can get ahead to that plus its one largest request; with zero, slack
-would hardly ever decide.
+Without it: in arrival order, one organisation's batch is served before every other
+organisation's single request, and a summary that is due in a second waits behind a
+review that is due in three minutes. Ordering by least slack alone is worse when one
+organisation is hot, since the one that asks for the most urgent class gets all the
+engine time.
+
+How: start-time fair queueing decides which organisations are eligible, and the least
+slack decides which of these is served. In each lane, each organisation has a tag: the
+engine time it has received. An organisation that returns to a lane starts at its
+earlier tag or, if that is higher, at the lowest tag of those that wait there, so an
+unused share goes to the others and cannot be saved up. Organisations within
+`ALLOWANCE_SECONDS` of the lowest tag are eligible. One that is further ahead waits
+until the others have caught up or have no work left, so the queue never withholds
+work from a free endpoint (work-conserving).
+
+Grounds: the allowance is the engine time of a few summaries. An organisation can get
+ahead of the others by at most the allowance plus its largest request. With an
+allowance of zero, slack would hardly ever decide.
 """
 
 from collections.abc import Container, Hashable
@@ -31,19 +33,22 @@
 
 __all__ = ["FairQueue", "QueuedWork"]
 
-# Engine time by which an organisation may be ahead of the others that wait.
+# Engine time, in seconds, by which an eligible organisation may be ahead of the lowest
+# tag in its lane.
 ALLOWANCE_SECONDS = 2.0
-# Rebuild a heap when stale entries outnumber live ones by this much.
-STALE_FACTOR = 4
-STALE_ENTRIES_KEPT = 64
+# Stale entries are dropped once the heap of tags exceeds `MIN_STALE_ENTRIES` plus
+# `MAX_STALE_RATIO` entries for each queued request.
+MAX_STALE_RATIO = 4
+MIN_STALE_ENTRIES = 64
 
 
 class QueuedWork(NamedTuple):
-    """Work that waits.
+    """One queued request.
 
-    Two works may share a ``lane`` when any endpoint that can take the one can
-    take the other. ``latest_start`` is the last moment at which it can still make
-    its targets, ``cost_seconds`` the engine time it is charged.
+    Requests may share a ``lane`` if every endpoint that can take one of them can take
+    the others. ``latest_start`` is the latest time, in seconds, at which the request
+    can be sent and still meet its targets. ``cost_seconds`` is the engine time that
+    its organisation is charged for it.
     """
 
     work: Work
@@ -53,18 +58,21 @@
 
 
 class _Waiting:
-    """One organisation's work in one lane."""
+    """The queued work of one organisation in one lane."""
 
     def __init__(self, tag: float):
         self.tag = tag
-        # Changes with the tag and the head: entries under an older one are stale.
-        # Drawn from the lane's counter, so that it never comes again.
+        # Changes whenever the tag or the head does; heap entries with an older version
+        # are stale. It comes from the lane's counter, so that no version recurs.
         self.version = -1
         self.by_slack: list[tuple[float, int, str]] = []
 
 
 class _Entry(NamedTuple):
-    """An organisation in one of a lane's heaps; ``key`` is its tag or its slack."""
+    """An organisation's entry in one of a lane's heaps.
+
+    ``key`` is the organisation's tag or the latest start of its head.
+    """
 
     key: float
     version: int
@@ -72,17 +80,22 @@
 
 
 class _Lane:
-    """A fair queue of its own: organisations, by tag and by slack of their heads."""
+    """The fair queue of one lane: its organisations, by tag and by slack of the head.
+
+    An organisation's head is its request with the earliest latest start.
+    """
 
     def __init__(self) -> None:
-        self.number = 0
+        self.size = 0
         self.waiting_by_organisation: dict[str, _Waiting] = {}
-        # Tags outlive the work, until nobody waits in the lane.
+        # An organisation's tag is kept when it has no work left, until the lane is
+        # empty.
         self.tags_by_organisation: dict[str, float] = {}
-        # All that wait; those of them within the allowance; the rest of them.
-        self.tags: list[_Entry] = []
-        self.within: list[_Entry] = []
-        self.ahead: list[_Entry] = []
+        # Heaps of the organisations that wait: all of them by tag, the eligible ones by
+        # latest start, and the others by tag.
+        self.by_tag: list[_Entry] = []
+        self.eligible: list[_Entry] = []
+        self.ineligible: list[_Entry] = []
         self._order = count()
 
     def push(self, queued: QueuedWork) -> None:
@@ -93,68 +106,68 @@
             waiting = self.waiting_by_organisation[name] = _Waiting(tag)
         entry = (queued.latest_start, next(self._order), queued.work.work_id)
         heappush(waiting.by_slack, entry)
-        self.number += 1
+        self.size += 1
         if waiting.by_slack[0] is entry:
-            self.compete_anew(name)
+            self.replace_entries(name)
 
-    def compete_anew(self, name: str) -> None:
-        """Replace the organisation's entries after its tag or its head changed."""
+    def replace_entries(self, name: str) -> None:
+        """Replace the organisation's heap entries after its tag or head changed."""
         waiting = self.waiting_by_organisation[name]
         waiting.version = next(self._order)
         entry = _Entry(waiting.tag, waiting.version, name)
-        heappush(self.tags, entry)
-        heappush(self.ahead, entry)
-        if len(self.tags) > STALE_ENTRIES_KEPT + STALE_FACTOR * self.number:
+        heappush(self.by_tag, entry)
+        heappush(self.ineligible, entry)
+        if len(self.by_tag) > MIN_STALE_ENTRIES + MAX_STALE_RATIO * self.size:
             self._drop_stale()
 
     def _drop_stale(self) -> None:
-        for heap in (self.tags, self.within, self.ahead):
-            heap[:] = [entry for entry in heap if self._is_live(entry)]
+        for heap in (self.by_tag, self.eligible, self.ineligible):
+            heap[:] = [entry for entry in heap if self._is_current(entry)]
             heapify(heap)
 
-    def _is_live(self, entry: _Entry) -> bool:
+    def _is_current(self, entry: _Entry) -> bool:
         waiting = self.waiting_by_organisation.get(entry.organisation)
         return waiting is not None and waiting.version == entry.version
 
-    def _first(self, heap: list[_Entry]) -> _Entry | None:
-        while heap and not self._is_live(heap[0]):
+    def _first_current(self, heap: list[_Entry]) -> _Entry | None:
+        while heap and not self._is_current(heap[0]):
             heappop(heap)
         return heap[0] if heap else None
 
     def least_tag(self) -> float:
-        """Return the least tag of the organisations that wait here."""
-        first = self._first(self.tags)
+        """Return the lowest tag of the organisations that wait here, or 0."""
+        first = self._first_current(self.by_tag)
         return first.key if first is not None else 0.0
 
     def head(self) -> str:
-        """Return the work to serve next; there must be some."""
+        """Return the id of the work to serve next; the lane must not be empty."""
         limit = self.least_tag() + ALLOWANCE_SECONDS
-        while (entry := self._first(self.ahead)) and entry.key <= limit:
-            heappop(self.ahead)
+        while (entry := self._first_current(self.ineligible)) and entry.key <= limit:
+            heappop(self.ineligible)
             waiting = self.waiting_by_organisation[entry.organisation]
-            heappush(self.within, entry._replace(key=waiting.by_slack[0][0]))
-        chosen = self._first(self.within)
+            heappush(self.eligible, entry._replace(key=waiting.by_slack[0][0]))
+        chosen = self._first_current(self.eligible)
         return self.waiting_by_organisation[chosen.organisation].by_slack[0][2]
 
-    def take(
+    def dequeue(
         self, queued: QueuedWork, charge: float, queued_ids: Container[str]
     ) -> None:
-        """Forget one work and charge its organisation."""
+        """Remove one request and charge its organisation ``charge`` seconds."""
         name = queued.work.organisation
         waiting = self.waiting_by_organisation[name]
         waiting.tag += charge
         self.tags_by_organisation[name] = waiting.tag
-        self.number -= 1
+        self.size -= 1
         while waiting.by_slack and waiting.by_slack[0][2] not in queued_ids:
             heappop(waiting.by_slack)
         if waiting.by_slack:
-            self.compete_anew(name)
+            self.replace_entries(name)
         else:
             del self.waiting_by_organisation[name]
 
 
 class FairQueue:
-    """A queue with one lane for each kind of endpoint that work can go to.
+    """A queue with a lane for each set of endpoints that work can be sent to.
 
     >>> queue = FairQueue()
     >>> queue.push(QueuedWork(work, lane="drafting", latest_start=4.0, cost_seconds=1))
@@ -176,7 +189,7 @@
         return list(self._lanes_by_key)
 
     def push(self, queued: QueuedWork) -> None:
-        """Add work; a work id may be queued only once."""
+        """Add work; raise `ValueError` if its work id is queued already."""
         work_id = queued.work.work_id
         if work_id in self._queued_by_id:
             raise ValueError(f"{work_id} is queued already")
@@ -184,26 +197,32 @@
         self._lanes_by_key.setdefault(queued.lane, _Lane()).push(queued)
 
     def head(self, lane: Hashable) -> QueuedWork | None:
-        """Return the work to serve next in ``lane``, without taking it."""
-        found = self._lanes_by_key.get(lane)
-        return None if found is None else self._queued_by_id[found.head()]
+        """Return the work to serve next in ``lane``, without removing it.
+
+        Return None if the lane has no work.
+        """
+        lane_queue = self._lanes_by_key.get(lane)
+        return None if lane_queue is None else self._queued_by_id[lane_queue.head()]
 
     def pop(self, work_id: str) -> QueuedWork:
-        """Take work to serve it; its organisation is charged its cost."""
+        """Remove and return work to be served; its organisation is charged its cost."""
         queued = self._queued_by_id.pop(work_id)
-        self._take(queued, queued.cost_seconds)
+        self._dequeue(queued, queued.cost_seconds)
         return queued
 
     def remove(self, work_id: str) -> QueuedWork | None:
-        """Take work that will not be served; nobody is charged."""
+        """Remove and return work that will not be served, without any charge.
+
+        Return None if the work is not queued.
+        """
         queued = self._queued_by_id.pop(work_id, None)
         if queued is not None:
-            self._take(queued, 0.0)
+            self._dequeue(queued, 0.0)
         return queued
 
-    def _take(self, queued: QueuedWork, charge: float) -> None:
+    def _dequeue(self, queued: QueuedWork, charge: float) -> None:
         lane = self._lanes_by_key[queued.lane]
-        lane.take(queued, charge, self._queued_by_id)
-        if not lane.number:
-            # With nobody waiting all start equal again.
+        lane.dequeue(queued, charge, self._queued_by_id)
+        if not lane.size:
+            # This drops the tags too: in an empty lane all organisations are equal.
             del self._lanes_by_key[queued.lane]
--- a/cranberrywick/decisions/placement.py
+++ b/cranberrywick/decisions/placement.py
@@ -1,24 +1,26 @@
-"""Where to send work: the open endpoint with the least predicted first token.
+"""Send work to the open endpoint with the earliest predicted first token.
 
 Load pattern: half of an organisation's prompts begin with a rulebook that an
 engine may still have in its prefix cache, and the rest have nothing in common.
 
-Without it: spread at random, each rulebook is read again by every engine; sent by
-hash alone, a popular rulebook overloads its one engine while others idle.
-
-How: a ring of points (consistent hashing over endpoints) names the endpoint where
-a prefix belongs, the same for every daemon. If that one is not open, the walk goes
-on along the ring for a few steps (affinity with bounded load: an endpoint that has
-its prefill full is passed by). Four more open endpoints are drawn at random, and
-the least predicted first token of them all wins, counting what this daemon believes
-to be cached there. Endpoints that take the fewest kinds of work are drawn first,
-so that a short prompt leaves the others free for long ones.
-
-Grounds: two random choices get most of what looking at all would (the wait falls
-from logarithmic to doubly logarithmic in the fleet), at a cost that does not grow
-with the fleet. Four, rather than two, look at most of what is open in a fleet of
-sixteen. Without cache news the belief is of this daemon's own sends, of the most
-recent blocks that fit half the memory.
+Without it: if prompts are placed at random, every engine has to prefill each rulebook
+again; if they are placed by hash alone, a popular rulebook overloads its one engine
+while others idle.
+
+How: consistent hashing maps a prefix to its own endpoint, the same one for every
+daemon. If that endpoint is not open, the next few on the hash ring are tried
+(affinity with bounded load: an endpoint whose prefill is busy is skipped). Four more
+open endpoints are drawn at random, and the candidate with the earliest predicted first
+token is chosen. The prediction counts what is presumably cached at each candidate.
+Random candidates come from the endpoints that take the fewest bands, so that a short
+prompt leaves the others free for long ones.
+
+Grounds: two random choices gain most of what a comparison of all endpoints would (the
+wait falls from logarithmic to doubly logarithmic in the size of the fleet), at a cost
+that does not grow with the fleet. Four, rather than two, cover most of the open
+endpoints in a fleet of sixteen. Endpoints do not report what they have cached, so each
+daemon presumes it from its own requests: the most recent blocks, up to half of the
+endpoint's memory.
 """
 
 from bisect import bisect
@@ -36,15 +38,21 @@
 
 __all__ = ["Choice", "Pool"]
 
+# Number of open endpoints that are drawn at random for each request.
 RANDOM_CHOICES = 4
 RING_POINTS_PER_ENDPOINT = 8
+# Number of ring points tried for the endpoint of a prefix, the first included.
 RING_STEPS = 4
-# Each stream at an engine slows a prefill by about this share.
+# Share by which each stream at an engine lengthens a prefill there, approximately.
 STREAM_SLOWDOWN = 1.0 / 64
 
 
 class Choice(NamedTuple):
-    """An endpoint for a request, with what was predicted."""
+    """The endpoint chosen for a request, with the predictions for it.
+
+    ``first_token_seconds`` counts from now and includes the wait for the prefills
+    ahead; with a ``gang``, the endpoint is its leader.
+    """
 
     state: EndpointState
     prefill_seconds: float
@@ -54,21 +62,24 @@
 
     @property
     def endpoint_ids(self) -> tuple[str, ...]:
-        """Where the request is sent, the leader of a gang first."""
+        """The endpoints that the request is sent to, the leader of a gang first."""
         if self.gang is not None:
             return self.gang.endpoint_ids
         return (self.state.endpoint_id,)
 
     @property
     def gang_tokens(self) -> tuple[int, ...]:
-        """What each member of a gang holds, the leader first."""
+        """The tokens that each member of the gang holds, the leader first.
+
+        Empty without a gang.
+        """
         if self.gang is None:
             return ()
         return tuple(part.tokens for part in (self.gang.leader, *self.gang.helpers))
 
 
 class _RandomSet:
-    """A set that can be drawn from at random, in constant time."""
+    """A set of strings from which a few can be drawn at random in constant time."""
 
     def __init__(self) -> None:
         self._items: list[str] = []
@@ -101,96 +112,108 @@
 
 
 class Pool:
-    """The endpoints that can take one kind of work, and which are open now."""
+    """The endpoints that can take one kind of work, and which of them are open.
+
+    An endpoint takes work of every band up to its longest band.
+    """
 
     def __init__(self, states: Iterable[EndpointState], cost: CostModel):
         self.states_by_id = {state.endpoint_id: state for state in states}
-        # Whether nobody else sends here. If others do, an endpoint of a longer part
-        # may have a long prefill that no report has shown yet, and a short prompt
-        # is not sent there for the sake of its prefix.
-        self.sees_all = True
+        # Whether no other daemon sends to these endpoints. If others do, an endpoint
+        # that takes longer bands may have a long prefill that no report shows yet, so
+        # a short prompt is not sent there for the sake of its cached prefix.
+        self.is_sole_sender = True
         self._cost = cost
         self._open_by_longest_band = [_RandomSet() for _ in range(BANDS)]
         self._longest_band_by_id = {
             endpoint_id: BANDS - 1 for endpoint_id in self.states_by_id
         }
-        self._number_by_longest_band = [0] * BANDS
-        self._number_by_longest_band[-1] = len(self.states_by_id)
+        self._count_by_longest_band = [0] * BANDS
+        self._count_by_longest_band[-1] = len(self.states_by_id)
         self._blocks_by_endpoint: dict[str, OrderedDict[str, None]] = {}
         self._ring = sorted(
-            (_point(f"{endpoint_id}#{index}"), endpoint_id)
+            (_ring_position(f"{endpoint_id}#{index}"), endpoint_id)
             for endpoint_id in self.states_by_id
             for index in range(RING_POINTS_PER_ENDPOINT)
         )
 
-    def inherit(self, before: "Pool") -> None:
-        """Take over parts and beliefs of the pool that this one replaces."""
-        self.set_parts(
+    def inherit(self, previous: "Pool") -> None:
+        """Copy the bands and the presumed caches from the pool that this replaces."""
+        self.set_longest_bands(
             {
-                endpoint_id: before._longest_band_by_id[endpoint_id]
+                endpoint_id: previous._longest_band_by_id[endpoint_id]
                 for endpoint_id in self.states_by_id
-                if endpoint_id in before.states_by_id
+                if endpoint_id in previous.states_by_id
             }
         )
-        self.sees_all = before.sees_all
+        self.is_sole_sender = previous.is_sole_sender
         self._blocks_by_endpoint = {
             endpoint_id: blocks
-            for endpoint_id, blocks in before._blocks_by_endpoint.items()
+            for endpoint_id, blocks in previous._blocks_by_endpoint.items()
             if endpoint_id in self.states_by_id
         }
 
-    def set_parts(self, longest_band_by_id: dict[str, int]) -> None:
-        """Say which bands each endpoint takes; those not named keep theirs."""
+    def set_longest_bands(self, longest_band_by_id: dict[str, int]) -> None:
+        """Set the longest band of these endpoints; the others keep theirs."""
         for endpoint_id, longest in longest_band_by_id.items():
-            known = self._longest_band_by_id[endpoint_id]
-            if known != longest:
+            current = self._longest_band_by_id[endpoint_id]
+            if current != longest:
                 is_open = (
-                    endpoint_id in self._open_by_longest_band[known]._index_by_item
+                    endpoint_id in self._open_by_longest_band[current]._index_by_item
                 )
                 self.set_open(endpoint_id, False)
                 self._longest_band_by_id[endpoint_id] = longest
-                self._number_by_longest_band[known] -= 1
-                self._number_by_longest_band[longest] += 1
+                self._count_by_longest_band[current] -= 1
+                self._count_by_longest_band[longest] += 1
                 self.set_open(endpoint_id, is_open)
 
     def set_open(self, endpoint_id: str, is_open: bool) -> None:
-        """Say whether an endpoint takes work now."""
-        found = self._open_by_longest_band[self._longest_band_by_id[endpoint_id]]
+        """Record whether an endpoint takes work now."""
+        open_set = self._open_by_longest_band[self._longest_band_by_id[endpoint_id]]
         if is_open:
-            found.add(endpoint_id)
+            open_set.add(endpoint_id)
         else:
-            found.discard(endpoint_id)
+            open_set.discard(endpoint_id)
 
     def has_open(self, band: int) -> bool:
-        """Whether work of ``band`` could go somewhere."""
+        """Whether an endpoint that takes work of ``band`` is open."""
         return any(self._open_by_longest_band[band:])
 
-    def takes(self, endpoint_id: str, band: int) -> bool:
+    def accepts(self, endpoint_id: str, band: int) -> bool:
         """Whether work of ``band`` may go to the endpoint, open or not."""
         return self._longest_band_by_id[endpoint_id] >= band
 
-    def number_for(self, band: int) -> int:
+    def count_for(self, band: int) -> int:
         """Return how many endpoints take work of ``band``, open or not."""
-        return sum(self._number_by_longest_band[band:])
+        return sum(self._count_by_longest_band[band:])
 
     def candidates(self, work: Work, band: int, random: Random) -> list[str]:
-        """Return a few open endpoints: the prefix's own, and some at random."""
-        # The most confined first.
+        """Return a few open endpoints: the one for the prefix, and some at random.
+
+        Empty if none is open for ``band``.
+        """
+        # The sets are ordered by longest band, so endpoints that take the fewest bands
+        # come first.
         open_sets = self._open_by_longest_band[band:]
-        for found in open_sets:
-            if found:
-                near = open_sets if self.sees_all else [found]
-                return self._affine(work, near) + found.draw(RANDOM_CHOICES, random)
+        for open_set in open_sets:
+            if open_set:
+                affinity_sets = open_sets if self.is_sole_sender else [open_set]
+                return self._affinity_candidate(work, affinity_sets) + open_set.draw(
+                    RANDOM_CHOICES, random
+                )
         return []
 
-    def _affine(self, work: Work, open_sets: list[_RandomSet]) -> list[str]:
-        """Return the first open endpoint on the ring from the prefix's place."""
+    def _affinity_candidate(self, work: Work, open_sets: list[_RandomSet]) -> list[str]:
+        """Return the first open endpoint on the ring from the prefix's position.
+
+        The list is empty if none of the next `RING_STEPS` points has an open endpoint.
+        """
         if not work.prefix_keys or not self._ring:
             return []
-        start = bisect(self._ring, (_point(work.prefix_keys[0]), ""))
+        start = bisect(self._ring, (_ring_position(work.prefix_keys[0]), ""))
         for step in range(RING_STEPS):
             endpoint_id = self._ring[(start + step) % len(self._ring)][1]
-            if any(endpoint_id in found for found in open_sets):
+            if any(endpoint_id in open_set for open_set in open_sets):
                 return [endpoint_id]
         return []
 
@@ -201,7 +224,7 @@
         now: float,
         allows: Callable[[EndpointState], bool],
     ) -> Choice | None:
-        """Return the allowed one with the least predicted first token."""
+        """Return the allowed endpoint with the earliest predicted first token."""
         best = None
         for endpoint_id in endpoint_ids:
             state = self.states_by_id[endpoint_id]
@@ -213,7 +236,7 @@
         return best
 
     def predict(self, work: Work, state: EndpointState, now: float) -> Choice:
-        """Predict the first token of ``work`` at one endpoint."""
+        """Return the predicted prefill and first token of ``work`` at one endpoint."""
         cached = self._cached_tokens(work, state.endpoint_id)
         prefill = self._cost.prefill_seconds(work, state.endpoint, cached)
         streams = len(state.outstanding_by_work)
@@ -225,25 +248,25 @@
         blocks = self._blocks_by_endpoint.get(endpoint_id)
         if not blocks:
             return 0
-        hit = 0
-        while hit < len(work.prefix_keys) and work.prefix_keys[hit] in blocks:
-            hit += 1
-        return hit * PREFIX_BLOCK_TOKENS
+        hits = 0
+        while hits < len(work.prefix_keys) and work.prefix_keys[hits] in blocks:
+            hits += 1
+        return hits * PREFIX_BLOCK_TOKENS
 
-    def sent(self, work: Work, state: EndpointState) -> None:
-        """Believe the work's prefix to be cached where it was sent."""
+    def record_sent(self, work: Work, state: EndpointState) -> None:
+        """Presume that the work's prefix is cached where the work was sent."""
         blocks = self._blocks_by_endpoint.setdefault(state.endpoint_id, OrderedDict())
         for key in work.prefix_keys:
             blocks[key] = None
             blocks.move_to_end(key)
-        most = state.endpoint.cache_tokens // (2 * PREFIX_BLOCK_TOKENS)
-        while len(blocks) > most:
+        max_blocks = state.endpoint.cache_tokens // (2 * PREFIX_BLOCK_TOKENS)
+        while len(blocks) > max_blocks:
             blocks.popitem(last=False)
 
-    def forget_cache(self, endpoint_id: str) -> None:
-        """The endpoint has started anew; nothing is cached there."""
+    def clear_cache(self, endpoint_id: str) -> None:
+        """Drop the presumed cache of an endpoint that has restarted."""
         self._blocks_by_endpoint.pop(endpoint_id, None)
 
 
-def _point(text: str) -> int:
+def _ring_position(text: str) -> int:
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/cranberrywick/decisions/pools.py
+++ b/cranberrywick/decisions/pools.py
@@ -1,9 +1,9 @@
-"""The pools of like endpoints, kept in step with what is known of each endpoint.
+"""Pools of interchangeable endpoints, updated as the state of each endpoint changes.
 
 A pool holds the endpoints that can take one kind of work. Whether an endpoint is
-open changes with each event there, so it is noted in every pool at that event; what
-changes by time alone (an overdue prefill, a report that grows old, the size of the
-parts) is looked at once a second.
+open changes with each event there, so every pool is updated at that event. What
+changes with time alone (an overdue prefill, an outdated report, the number of
+endpoints reserved for short prompts) is checked once a second.
 """
 
 from collections.abc import Mapping
@@ -27,12 +27,13 @@
 
 __all__ = ["PoolKey", "PoolState", "Pools"]
 
-# Reports and own counts differ by a little even when no other daemon sends.
-ALONE_SHARE = 0.9
+# A daemon counts as the only sender if it has more than this share of the fleet's
+# requests. The reports differ a little from its own counts even if no other sends.
+SOLE_SENDER_SHARE = 0.9
 
 
 class PoolKey(NamedTuple):
-    """What an endpoint must have to take the work."""
+    """The model, adapter or service that an endpoint must have to take the work."""
 
     model: str
     adapter: str | None
@@ -40,17 +41,17 @@
 
 
 class PoolState:
-    """One pool, and the decisions that are made for it alone."""
+    """One pool with its own admission, isolation and hot organisations."""
 
     def __init__(self, random: Random):
         self.pool: Pool | None = None
         self.isolation = Isolation()
         self.admission = Admission(random)
-        self.hot = HotOrganisations()
+        self.hot_organisations = HotOrganisations()
 
     @property
-    def typical_endpoint(self) -> Endpoint | None:
-        """Any endpoint of the pool that is still listed."""
+    def sample_endpoint(self) -> Endpoint | None:
+        """The first endpoint of the pool that is still listed, or None."""
         for state in self.pool.states_by_id.values():
             if state.listed:
                 return state.endpoint
@@ -58,7 +59,7 @@
 
 
 class Pools:
-    """Every pool, over one fleet."""
+    """All pools over the endpoints of one fleet."""
 
     def __init__(
         self, fleet: Fleet, slow: SlowEndpoints, cost: CostModel, random: Random
@@ -74,7 +75,7 @@
         return self._pools_by_key[key]
 
     def get(self, key: PoolKey, now: float) -> PoolState:
-        """Return the pool for this kind of work, made at its first request."""
+        """Return the pool for this kind of work; the first request creates it."""
         state = self._pools_by_key.get(key)
         if state is None:
             state = PoolState(self._random)
@@ -89,10 +90,10 @@
             for endpoint_state in self._fleet.states_by_id.values()
             if endpoint_state.serves(key.model, key.adapter, key.service)
         ]
-        before = state.pool
+        previous = state.pool
         state.pool = Pool(serving, self._cost)
-        if before is not None:
-            state.pool.inherit(before)
+        if previous is not None:
+            state.pool.inherit(previous)
         for endpoint_state in serving:
             is_open = self.is_open(endpoint_state, now)
             state.pool.set_open(endpoint_state.endpoint_id, is_open)
@@ -107,15 +108,15 @@
         return is_open and self._slow.admits(state.endpoint_id)
 
     def is_usable(self, state: EndpointState) -> bool:
-        """Whether the endpoint is there and as quick as its peers."""
-        return self._is_present(state) and self._slow.admits(state.endpoint_id)
+        """Whether the endpoint is available, and neither ejected as slow nor down."""
+        return self._is_available(state) and self._slow.admits(state.endpoint_id)
 
-    def _is_present(self, state: EndpointState) -> bool:
-        is_going = state.is_leaving or self._fleet.is_out(state)
-        return state.listed and not is_going
+    def _is_available(self, state: EndpointState) -> bool:
+        is_withdrawn = state.is_leaving or self._fleet.is_out(state)
+        return state.listed and not is_withdrawn
 
     def refresh(self, state: EndpointState, now: float) -> None:
-        """Note in every pool whether the endpoint is open."""
+        """Update in every pool whether the endpoint is open."""
         is_open = self.is_open(state, now)
         for pool_state in self._pools_by_key.values():
             if state.endpoint_id in pool_state.pool.states_by_id:
@@ -130,13 +131,13 @@
     ) -> None:
         """Replace the known endpoints."""
         self._fleet.set_endpoints(endpoints_by_id)
-        for endpoint_id in self._slow.known():
+        for endpoint_id in self._slow.tracked():
             if endpoint_id not in endpoints_by_id:
                 self._slow.forget(endpoint_id)
         self._rebuild(now)
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
-        """Replace the classes' targets, which say what is short."""
+        """Replace the classes' targets, from which the limits of the bands follow."""
         self._targets = dict(targets_by_class)
         for state in self._pools_by_key.values():
             state.isolation.set_targets(self._targets)
@@ -152,36 +153,38 @@
         self._refresh_all(now)
 
     def report(self, load: EndpointLoad, now: float) -> None:
-        """Take one load report."""
+        """Apply one load report; one of an unknown endpoint is ignored."""
         state = self._fleet.states_by_id.get(load.endpoint_id)
         if state is None:
             return
         models = state.models
         is_new = state.report(load)
-        self._slow.report(load, is_new)
+        self._slow.record_report(load, is_new)
         if is_new:
             for pool_state in self._pools_by_key.values():
-                pool_state.pool.forget_cache(load.endpoint_id)
+                pool_state.pool.clear_cache(load.endpoint_id)
         if state.models != models:
             self._rebuild(now)
         else:
             self.refresh(state, now)
 
     def sweep(self, now: float) -> None:
-        """Look for what changes by time alone; call about once a second."""
+        """Apply what changes with time alone; call about once a second."""
         for state in self._fleet.states_by_id.values():
             self._check_overdue(state, now)
             self.refresh(state, now)
         self._fleet.update_own_share(now)
         for pool_state in self._pools_by_key.values():
-            pool_state.hot.update(now)
-            pool_state.pool.sees_all = self._fleet.own_share > ALONE_SHARE
+            pool_state.hot_organisations.update(now)
+            pool_state.pool.is_sole_sender = self._fleet.own_share > SOLE_SENDER_SHARE
             usable = self._usable_endpoints(pool_state.pool, now)
             if usable:
-                pool_state.pool.set_parts(pool_state.isolation.parts(usable, now))
+                pool_state.pool.set_longest_bands(
+                    pool_state.isolation.longest_bands(usable, now)
+                )
 
     def _check_overdue(self, state: EndpointState, now: float) -> None:
-        """Look at the oldest prefill there; those behind it wait for it."""
+        """Check the oldest prefill at the endpoint; later ones only wait for it."""
         if state.endpoint.kind is not EndpointKind.ENGINE:
             return
         peers = len(self._fleet.states_by_id)
@@ -194,10 +197,10 @@
             return
 
     def _usable_endpoints(self, pool: Pool, now: float) -> list[Endpoint]:
-        present = [s for s in pool.states_by_id.values() if self._is_present(s)]
-        usable = [s for s in present if self._slow.admits(s.endpoint_id)]
-        if present and not usable:
-            self._slow.readmit_last(state.endpoint_id for state in present)
-            for state in present:
+        available = [s for s in pool.states_by_id.values() if self._is_available(s)]
+        usable = [s for s in available if self._slow.admits(s.endpoint_id)]
+        if available and not usable:
+            self._slow.readmit_all(state.endpoint_id for state in available)
+            for state in available:
                 self.refresh(state, now)
-        return [state.endpoint for state in usable or present]
+        return [state.endpoint for state in usable or available]
--- a/cranberrywick/decisions/retries.py
+++ b/cranberrywick/decisions/retries.py
@@ -1,21 +1,21 @@
-"""Which failed attempts may be made again, and how many.
+"""Decide which failed attempts are retried, within a budget.
 
-Load pattern: an engine, or a third of them, dies with dozens of requests; or the
-fleet is so full that attempts fail because they are many.
+Load pattern: an engine, or a third of all engines, fails with dozens of requests in
+progress; or the fleet is so overloaded that attempts fail for that reason.
 
-Without it: either every caller of a dead engine sees the failure, or each failure
-under overload becomes two more attempts and the overload feeds itself.
+Without it: either every caller of a failed engine sees the failure, or each failure
+under overload causes two more attempts, which increase the overload.
 
-How: an attempt is repeated only when it did not run, or when the call is
-idempotent and its caller has received nothing of it yet. A budget earns a share of
-each success; every retry spends one. There is none while the fleet refuses work
-for want of capacity, none after the third attempt, none that cannot meet the
-deadline. The next attempt avoids the failure domain that failed.
+How: a request is retried only if the attempt did not run, or if the call is idempotent
+and the caller has not yet received any of the answer. Each success adds a fraction of a
+retry to a budget, and each retry spends one. There are no retries while the fleet
+refuses work for lack of capacity, after the third attempt, or if a retry could not meet
+the deadline. The next attempt avoids the failure domains that have failed.
 
-Grounds: a tenth of the successes is the usual bound at which retries cannot double
-the load. The reserve of a hundred at most is what a third of sixteen engines
-loses when a failure domain dies at full load; it must have been earned first, but
-for the first ten.
+Grounds: with retries limited to a tenth of the successes, the usual bound, they cannot
+double the load. The budget is at most one hundred retries: that is how many requests a
+third of sixteen engines loses if a failure domain fails at full load. All but the
+first ten of them must have been earned.
 """
 
 from typing import NamedTuple
@@ -24,35 +24,36 @@
 
 __all__ = ["Attempts", "RetryBudget", "may_repeat"]
 
+# All in retries: what one success adds to the budget, and its initial and largest size.
 EARNED_PER_SUCCESS = 0.1
-BUDGET_AT_FIRST = 10.0
-BUDGET_AT_MOST = 100.0
-ATTEMPTS_AT_MOST = 3
+INITIAL_BUDGET = 10.0
+MAX_BUDGET = 100.0
+MAX_ATTEMPTS = 3
 
 
 class Attempts(NamedTuple):
-    """What was tried for one request; ``ran`` says that an attempt may have run."""
+    """The failed attempts of one request, and whether any of them may have run."""
 
     count: int = 0
     failed_domains: frozenset[str] = frozenset()
-    ran: bool = False
+    may_have_run: bool = False
 
     @property
     def is_last(self) -> bool:
         """Whether no further attempt will be made."""
-        return self.count >= ATTEMPTS_AT_MOST
+        return self.count >= MAX_ATTEMPTS
 
     def with_failure(self, domain: str, executed: Executed) -> "Attempts":
-        """Return this and one failed attempt more."""
-        ran = self.ran or executed is not Executed.NO
-        return Attempts(self.count + 1, self.failed_domains | {domain}, ran)
+        """Return these attempts and one more failed attempt."""
+        may_have_run = self.may_have_run or executed is not Executed.NO
+        return Attempts(self.count + 1, self.failed_domains | {domain}, may_have_run)
 
 
 def may_repeat(work: Work, result: SendResult) -> bool:
-    """Whether another attempt could do no harm.
+    """Whether the request can be attempted again without harm.
 
-    A first token that came may have reached the caller, and a second answer would
-    not continue the first one's text.
+    Once a first token has arrived, it may have reached the caller, and a second answer
+    would not continue the text of the first.
     """
     if result.executed is Executed.NO:
         return True
@@ -60,7 +61,7 @@
 
 
 class RetryBudget:
-    """Retries that successes have earned.
+    """A budget of retries that grows with successes.
 
     >>> budget = RetryBudget()
     >>> budget.take(overloaded=False)
@@ -68,20 +69,23 @@
     """
 
     def __init__(self) -> None:
-        self._left = BUDGET_AT_FIRST
+        self._remaining = INITIAL_BUDGET
 
     @property
-    def left(self) -> float:
-        """How many retries may still be made."""
-        return self._left
+    def remaining(self) -> float:
+        """The number of retries that may still be made, not always whole."""
+        return self._remaining
 
     def earn(self) -> None:
-        """Count one success."""
-        self._left = min(BUDGET_AT_MOST, self._left + EARNED_PER_SUCCESS)
+        """Add the fraction of a retry that one success earns."""
+        self._remaining = min(MAX_BUDGET, self._remaining + EARNED_PER_SUCCESS)
 
     def take(self, overloaded: bool) -> bool:
-        """Spend one retry if there is one and the fleet has room for it."""
-        if overloaded or self._left < 1.0:
+        """Spend one retry and return True, or return False if none is allowed.
+
+        None is allowed under overload or with less than one retry in the budget.
+        """
+        if overloaded or self._remaining < 1.0:
             return False
-        self._left -= 1.0
+        self._remaining -= 1.0
         return True
--- a/cranberrywick/decisions/scheduler.py
+++ b/cranberrywick/decisions/scheduler.py
@@ -1,9 +1,9 @@
-"""The strategy of the product: the decision modules, composed.
+"""The default strategy, composed of the decision modules.
 
-Work is admitted by predicted wait, held here in fair order, and sent only when an
-endpoint is about to be free, since what has been sent can no longer be reordered.
-Each event costs a few dictionary and heap operations; nothing looks at all
-endpoints or at the whole queue but the sweep, once a second.
+Work is admitted by its predicted wait, queued here in fair order, and sent only when
+an endpoint is about to become free, because work that has been sent can no longer be
+reordered. Each event costs a few dictionary and heap operations. Only the sweep, once
+a second, iterates over all endpoints; nothing iterates over the whole queue.
 """
 
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 from random import Random
 
 from cranberrywick.decisions.admission import (
-    Endpoints,
+    EndpointCounts,
     wait_kind,
 )
 from cranberrywick.decisions.choosing import Chooser, Lane, needs_gang
@@ -44,19 +44,25 @@
 
 __all__ = ["Scheduler"]
 
-SWEEP_EVERY_SECONDS = 1.0
-# Where waiting alone changes nothing: an endpoint must come or targets change.
-UNCHANGED_RETRY_SECONDS = 5.0
-# A prefill may take this many times what is expected and still be in time. The
-# expectation is a mean: streams and cache misses make one in twenty this slow.
+SWEEP_INTERVAL_SECONDS = 1.0
+# Mean retry time, in seconds, of refusals that overload did not cause. Waiting alone
+# changes nothing there: the work needs a new endpoint or changed targets.
+NO_OVERLOAD_RETRY_SECONDS = 5.0
+# Time reserved for a prefill, as a multiple of its expected duration. The expectation
+# is a mean: streams and cache misses make one prefill in twenty this slow.
 PREFILL_MARGIN = 1.5
-# Work this late is given up; rounding must not decide.
+# Tolerance in seconds before queued work counts as late, so that rounding errors do
+# not decide.
 ROUNDING_SECONDS = 1e-6
 
 
 @register_strategy("cranberrywick")
 class Scheduler(Strategy):
-    """Admission, fair queue, isolation, placement, retries and slow endpoints."""
+    """Schedules requests by predicted wait, fair share and predicted first token.
+
+    It combines admission, the fair queue, isolation, placement, retries and the
+    detection of slow endpoints.
+    """
 
     def __init__(self, seed: int):
         super().__init__(seed)
@@ -78,33 +84,38 @@
     # Arrival
 
     def offer(self, work: Work, now: float) -> Queued | Refused:
-        """Queue the work if it can make its targets, else refuse it at once."""
+        """Queue the work if it can meet its targets, else refuse it at once."""
         key = PoolKey(work.model, work.adapter, work.service)
         state = self._pools.get(key, now)
-        endpoint = state.typical_endpoint
+        endpoint = state.sample_endpoint
         if endpoint is None:
-            return self._refuse_without_load(work, RefusalReason.NO_ENDPOINT)
+            return self._refuse_without_overload(work, RefusalReason.NO_ENDPOINT)
         is_gang = needs_gang(work, endpoint)
-        if is_gang and not self._chooser.could_hold(work, state.pool):
-            return self._refuse_without_load(work, RefusalReason.NO_ENDPOINT)
+        if is_gang and not self._chooser.gang_could_hold(work, state.pool):
+            return self._refuse_without_overload(work, RefusalReason.NO_ENDPOINT)
         estimate = self._cost.estimate(work, endpoint)
         band = state.isolation.band(estimate.prefill_seconds)
         latest = self._latest_start(work, estimate.prefill_seconds, now)
         latest = min(latest, work.deadline - estimate.total_seconds)
         if latest < now:
-            # Too long for its class even on an idle fleet. Counted as asked for, it
-            # made its organisation look hot, and the refusal blamed the load.
+            # Too long for its class even on an idle fleet. When such work counted as
+            # demand, its organisation was marked hot and the refusal wrongly named
+            # overload as the reason.
             reason = RefusalReason.CANNOT_MEET_TARGET
-            return self._refuse_without_load(work, reason)
-        is_hot = work.organisation in state.hot
-        state.hot.asked(work.organisation, estimate.prefill_seconds)
+            return self._refuse_without_overload(work, reason)
+        is_hot = work.organisation in state.hot_organisations
+        state.hot_organisations.record_offered(
+            work.organisation, estimate.prefill_seconds
+        )
         share = self._fleet.own_share
         total = len(state.pool.states_by_id)
-        drained_by = Endpoints(share * total, share * state.pool.number_for(band))
+        endpoint_counts = EndpointCounts(
+            share * total, share * state.pool.count_for(band)
+        )
         slack = latest - now
         kind = wait_kind(band, slack)
         wait = state.admission.predicted_wait(
-            work.organisation, kind, estimate.prefill_seconds, drained_by, now
+            work.organisation, kind, estimate.prefill_seconds, endpoint_counts, now
         )
         if not state.admission.allows(wait, slack):
             return self._refuse(work, state, wait, slack, estimate.prefill_seconds, now)
@@ -115,17 +126,17 @@
         self._enqueue(Job(queued, kind, wait, now))
         return Queued(work.work_id)
 
-    def _refuse_without_load(self, work: Work, reason: RefusalReason) -> Refused:
-        """Refuse for a cause that is not overload, and is not counted as such."""
-        after = UNCHANGED_RETRY_SECONDS * (0.5 + self._random.random())
-        return Refused(work.work_id, reason, after)
+    def _refuse_without_overload(self, work: Work, reason: RefusalReason) -> Refused:
+        """Return a refusal that does not count as a sign of overload."""
+        retry_after = NO_OVERLOAD_RETRY_SECONDS * (0.5 + self._random.random())
+        return Refused(work.work_id, reason, retry_after)
 
     @staticmethod
     def _latest_start(work: Work, prefill_seconds: float, now: float) -> float:
-        """Return when prefill must start for a prompt first token.
+        """Return the latest time at which prefill can start and still be on time.
 
-        A prompt that is too long for its class's promptness even on an idle fleet
-        is held to its completion time alone.
+        A prompt that is too long to meet its first-token target even on an idle
+        fleet has to meet its completion deadline only.
         """
         latest = work.first_token_deadline - PREFILL_MARGIN * prefill_seconds
         return latest if latest >= now else work.deadline - prefill_seconds
@@ -140,12 +151,12 @@
         now: float,
     ) -> Refused:
         admission = state.admission
-        number = self._fleet.own_share * len(state.pool.states_by_id)
+        endpoint_count = self._fleet.own_share * len(state.pool.states_by_id)
         reason = RefusalReason.CANNOT_MEET_TARGET
-        if work.organisation in state.hot:
+        if work.organisation in state.hot_organisations:
             reason = RefusalReason.ORGANISATION_OVER_SHARE
-        after = admission.refuse(wait, slack, seconds, number, now)
-        return Refused(work.work_id, reason, after)
+        retry_after = admission.refuse(wait, slack, seconds, endpoint_count, now)
+        return Refused(work.work_id, reason, retry_after)
 
     def _enqueue(self, job: Job) -> None:
         queued = job.queued
@@ -154,19 +165,19 @@
         heappush(self._latest_starts, (queued.latest_start, job.work.work_id))
         state = self._pools[queued.lane.pool]
         organisation = job.work.organisation
-        state.admission.queued(organisation, job.kind, queued.cost_seconds)
+        state.admission.record_queued(organisation, job.kind, queued.cost_seconds)
 
-    def _dequeued(self, job: Job) -> None:
+    def _record_dequeued(self, job: Job) -> None:
         queued = job.queued
         state = self._pools[queued.lane.pool]
         organisation = job.work.organisation
-        state.admission.left(organisation, job.kind, queued.cost_seconds)
+        state.admission.record_dequeued(organisation, job.kind, queued.cost_seconds)
 
     # Decisions
 
     def poll(self, now: float) -> list[Send | GiveUp]:
-        """Give up what can no longer make it, and send what there is room for."""
-        if now >= self._swept_at + SWEEP_EVERY_SECONDS:
+        """Give up late work, and send work while endpoints are open for it."""
+        if now >= self._swept_at + SWEEP_INTERVAL_SECONDS:
             self._swept_at = now
             self._pools.sweep(now)
         actions: list[Send | GiveUp] = self._give_up(now)
@@ -181,7 +192,11 @@
         return actions
 
     def _next(self, blocked: set[Lane]) -> QueuedWork | None:
-        """Return the head with least slack among the lanes with an open endpoint."""
+        """Return the most urgent head of the lanes that have an open endpoint.
+
+        While any endpoint is ejected, every lane counts, since its head may be sent
+        there as a probe.
+        """
         best = None
         for lane in self._queue.lanes():
             pool = self._pools[lane.pool].pool
@@ -199,18 +214,18 @@
         job = self._jobs_by_work[work.work_id]
         state = self._pools[queued.lane.pool]
         self._queue.pop(work.work_id)
-        self._dequeued(job)
-        state.admission.waited(job.kind, job.predicted_wait, now - job.queued_at)
-        state.admission.served(band, choice.prefill_seconds, now)
-        state.hot.served(queued.cost_seconds)
-        state.pool.sent(work, choice.state)
-        self._count_sent(work, choice, now)
+        self._record_dequeued(job)
+        state.admission.record_wait(job.kind, job.predicted_wait, now - job.queued_at)
+        state.admission.record_served(band, choice.prefill_seconds, now)
+        state.hot_organisations.record_served(queued.cost_seconds)
+        state.pool.record_sent(work, choice.state)
+        self._record_sent(work, choice, now)
         job.endpoint_id = choice.state.endpoint_id
         job.choice = choice
         self._pools.refresh(choice.state, now)
         return Send(work.work_id, choice.endpoint_ids, choice.gang_tokens)
 
-    def _count_sent(self, work: Work, choice: Choice, now: float) -> None:
+    def _record_sent(self, work: Work, choice: Choice, now: float) -> None:
         gang = choice.gang
         choice.state.sent(
             work,
@@ -224,7 +239,7 @@
             helper.hold(work.work_id, part.tokens, now)
 
     def _give_up(self, now: float) -> list[Send | GiveUp]:
-        """Answer those whose latest start has passed, at once."""
+        """Remove the work whose latest start has passed and refuse it."""
         actions: list[Send | GiveUp] = []
         starts = self._latest_starts
         while starts and starts[0][0] < now - ROUNDING_SECONDS:
@@ -235,11 +250,11 @@
             if job.queued.latest_start != latest:
                 continue
             self._queue.remove(work_id)
-            self._dequeued(job)
+            self._record_dequeued(job)
             del self._jobs_by_work[work_id]
             waited = now - job.queued_at
             admission = self._pools[job.queued.lane.pool].admission
-            admission.waited(job.kind, job.predicted_wait, waited)
+            admission.record_wait(job.kind, job.predicted_wait, waited)
             actions.append(GiveUp(self._refuse_late(job, now)))
         return actions
 
@@ -249,12 +264,15 @@
         return self._refuse(job.work, state, 0.0, 0.0, seconds, now)
 
     def next_wake(self, now: float) -> float | None:
-        """Wake for the next latest start, and to sweep while there is work."""
+        """Return the next latest start or the next sweep, whichever is earlier.
+
+        Return None while no request is queued or sent.
+        """
         while self._latest_starts and (self._latest_starts[0][1] not in self._queue):
             heappop(self._latest_starts)
         if not self._jobs_by_work:
             return None
-        wake = self._swept_at + SWEEP_EVERY_SECONDS
+        wake = self._swept_at + SWEEP_INTERVAL_SECONDS
         if self._latest_starts:
             wake = min(wake, self._latest_starts[0][0] + 2 * ROUNDING_SECONDS)
         return wake
@@ -262,7 +280,7 @@
     # Outcomes
 
     def first_token(self, work_id: str, now: float) -> None:
-        """Learn from the prefill and open the endpoint for the next one."""
+        """Update the cost estimates and open the endpoint for its next prefill."""
         job = self._jobs_by_work.get(work_id)
         if job is not None:
             self._outcomes.first_token(job, now)
@@ -270,7 +288,7 @@
     def finished(
         self, work_id: str, result: SendResult, now: float
     ) -> Settled | Retry | Refused:
-        """Release what the attempt held; try again where that is safe and useful."""
+        """Release what the attempt held, and retry where that is safe and useful."""
         job = self._jobs_by_work.get(work_id)
         if job is None:
             return Settled(work_id)
@@ -286,8 +304,8 @@
             self._enqueue(job)
             return Retry(work_id)
         del self._jobs_by_work[work_id]
-        if result.executed is Executed.NO and not job.attempts.ran:
-            return self._refuse_without_load(job.work, RefusalReason.NO_ENDPOINT)
+        if result.executed is Executed.NO and not job.attempts.may_have_run:
+            return self._refuse_without_overload(job.work, RefusalReason.NO_ENDPOINT)
         return Settled(work_id)
 
     def _may_retry(self, job: Job, result: SendResult, now: float) -> bool:
@@ -306,21 +324,24 @@
         return True
 
     def withdraw(self, work_id: str, now: float) -> None:
-        """Forget the work and release what it holds."""
+        """Remove the work, queued or sent, and release what it holds."""
         job = self._jobs_by_work.pop(work_id, None)
         if job is None:
             return
         if self._queue.remove(work_id) is not None:
-            self._dequeued(job)
+            self._record_dequeued(job)
         else:
             self._outcomes.release(job, now)
 
-    # What is known from outside
+    # Configuration and load reports
 
     def set_endpoints(
         self, endpoints_by_id: Mapping[str, Endpoint], now: float
     ) -> None:
-        """Replace the known endpoints; work on ones that vanish stays counted."""
+        """Replace the known endpoints.
+
+        Work at an endpoint that is no longer listed counts until it ends.
+        """
         self._pools.set_endpoints(endpoints_by_id, now)
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
@@ -336,5 +357,5 @@
         self._pools.set_shares(shares_by_endpoint, now)
 
     def report_load(self, load: EndpointLoad, now: float) -> None:
-        """Take one load report, which may be late or repeated."""
+        """Apply one load report, which may be late or repeated."""
         self._pools.report(load, now)
