--- a/cranberrywick/gateway/peer_updates.py
+++ b/cranberrywick/gateway/peer_updates.py
@@ -1,4 +1,4 @@
-"""What daemons tell one another: who lives, and what each has at endpoints.
+"""The updates between daemons: who is alive, and the jobs of each at endpoints.
 
 Everything here runs on the event loop.
 """
@@ -39,16 +39,23 @@
 
 __all__ = ["DaemonStatus", "PeerUpdateListener", "PeerUpdates"]
 
-# How often silence is looked for; a tenth of the shortest time that it takes.
-LOOK_SECONDS = 0.2
-# That one writes or has ended is told later, the more so the more daemons hear it:
-# a place that is thought taken for a moment longer costs less than a datagram to each.
-# With relays it costs one datagram, and waits no longer than the relay collects.
+# Interval between two checks for silent daemons, in seconds; a tenth of the shortest
+# time after which a daemon counts as silent.
+SILENCE_CHECK_SECONDS = 0.2
+# Longest delay of the update that a job has ended, in seconds for each known daemon. In
+# a larger fleet the update goes to more daemons, and a place that counts as occupied
+# for a moment longer costs less than a datagram to each of them. With relays the update
+# costs one datagram and waits no longer than `FLUSH_SECONDS`.
 ENDED_UPDATE_SECONDS_PER_MEMBER = 0.004
 
 
 class DaemonStatus(NamedTuple):
-    """What a daemon tells of its own knowledge; see `Heartbeat`."""
+    """The part of a `Heartbeat` that `FleetState` provides.
+
+    ``leaving`` is set for a daemon that accepts no callers. The other fields are the
+    store's revision and the digest of its operators' view, and the seconds since that
+    view was known to be the newest.
+    """
 
     leaving: bool
     operator_revision: int
@@ -57,29 +64,33 @@
 
 
 class PeerUpdateListener(Protocol):
-    """Who is told of what peers say."""
+    """Handles the peers' updates and provides this daemon's own state."""
 
     def daemon_status(self, now: float) -> DaemonStatus:
-        """Return what this daemon tells of itself."""
+        """Return the part of a heartbeat that describes this daemon's own state."""
 
     def heartbeat_received(self, heartbeat: Heartbeat, received_at: float) -> None:
-        """Take a heartbeat that is news; its jobs are counted already."""
+        """Handle a heartbeat that is newer than the last; its jobs are recorded."""
 
     def endpoints_received(self, snapshot: EndpointSnapshot) -> None:
-        """Take a reading of the endpoints."""
+        """Apply a peer's snapshot of the endpoints."""
 
     def peer_joined(self, peer_address: str) -> None:
-        """Tell a daemon that has just started what it needs to serve."""
+        """Send a daemon that has just started what it needs to serve requests."""
 
     def answer(self, request: SnapshotRequest) -> Message | None:
-        """Return what a peer that asks is told; None while nothing is known."""
+        """Return the snapshot that a peer requests; None if there is none yet."""
 
     def declared_rate(self, endpoint_id: str) -> float:
         """Return an endpoint's declared limit in requests a second, or infinity."""
 
 
 class PeerUpdates:
-    """Hears and tells; keeps the fleet's members, load, paces and rate limits."""
+    """Exchanges updates with the other daemons.
+
+    Keeps what the updates are merged into: the fleet's members, their load, and the
+    endpoints' slowdowns and rate limits.
+    """
 
     def __init__(
         self, settings: GatewaySettings, listener: PeerUpdateListener, log: EventLog
@@ -111,53 +122,58 @@
             settings, self.members, self._is_leaving, self._loop.time
         )
         self._relaying = HeartbeatRelaying(settings, self._recipients, self._send)
-        # Peers heard for the first time, of which no line tells yet.
-        self._met_ids: list[str] = []
+        # Peers heard from for the first time and not logged yet.
+        self._new_ids: list[str] = []
         self._next_heartbeat: asyncio.TimerHandle | None = None
 
     async def start(self, ticker: Ticker) -> None:
-        """Begin to listen and to tell."""
+        """Start to receive and to send updates."""
         await self.link.start(self._settings.ip, self._settings.internal_ports[0])
         self.send_heartbeat()
-        ticker.every(LOOK_SECONDS, self._look)
+        ticker.every(SILENCE_CHECK_SECONDS, self._evict_silent)
         ticker.every(KEEPALIVE_SECONDS, self._relaying.keep_alive)
 
     def set_registered_addresses(self, addresses_by_id: dict[str, str]) -> None:
-        """Take the daemons that are registered in the store."""
+        """Record the daemons that are registered in the store."""
         if addresses_by_id != self._recipients.registered_addresses:
             self._recipients.registered_addresses = addresses_by_id
             self.send_heartbeat()
 
     @property
     def has_received_all(self) -> bool:
-        """Whether all daemons that are registered have been heard."""
+        """Whether there are registered daemons and all of them were heard from."""
         recipients = self._recipients
-        return bool(recipients.registered_addresses) and not recipients.strangers()
+        return bool(recipients.registered_addresses) and not recipients.unheard_peers()
 
     @property
     def most_members(self) -> int:
-        """How many daemons may live, this one included."""
+        """How many daemons may be alive, this one included."""
         return self._recipients.most_members
 
     def job_added(self) -> None:
-        """Tell the others at once what this daemon now has at endpoints."""
-        self._tell_within(JOB_UPDATE_SECONDS)
+        """Schedule a heartbeat within `JOB_UPDATE_SECONDS`, after a new job."""
+        self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def slowdown_changed(self) -> None:
-        """Tell the others soon that an engine is found to be slow, or fast again."""
-        self._tell_within(JOB_UPDATE_SECONDS)
+        """Schedule a heartbeat soon, after a change of an engine's slowdown."""
+        self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def limit_changed(self) -> None:
-        """Tell the others soon that an endpoint has another rate limit."""
-        self._tell_within(JOB_UPDATE_SECONDS)
+        """Schedule a heartbeat soon, after a change of an endpoint's rate limit."""
+        self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def job_ended(self) -> None:
-        """Tell the others some time soon."""
+        """Schedule a heartbeat after the end of a job.
+
+        It may wait longer than after a new job; see `ENDED_UPDATE_SECONDS_PER_MEMBER`.
+        """
         wait = self._recipients.known_members * ENDED_UPDATE_SECONDS_PER_MEMBER
-        self._tell_within(FLUSH_SECONDS if self._recipients.has_relays else wait)
+        self._send_heartbeat_within(
+            FLUSH_SECONDS if self._recipients.has_relays else wait
+        )
 
     def send_heartbeat(self) -> None:
-        """Tell the others what this daemon is and knows."""
+        """Send a heartbeat to all daemons, in a large fleet through the relays."""
         now = self._loop.time()
         self._schedule_heartbeat()
         self._sequence += 1
@@ -166,12 +182,12 @@
         if not recipients.has_relays:
             self.link.send(heartbeat, recipients.peers(), recipients.direct_scope)
             return
-        self.link.send(heartbeat, recipients.strangers())
+        self.link.send(heartbeat, recipients.unheard_peers())
         relay = recipients.own_relay()
         if relay is not None:
             self.link.send(heartbeat, [relay.peer_address], Scope.FLEET)
             return
-        self._relaying.pass_on(RelayedHeartbeat(now, heartbeat), Scope.FLEET)
+        self._relaying.forward(RelayedHeartbeat(now, heartbeat), Scope.FLEET)
         if heartbeat.leaving:
             self._relaying.flush()
 
@@ -188,17 +204,17 @@
         if not recipients.has_relays:
             self.link.send(message, recipients.peers())
             return
-        near = [*recipients.domain_peers(), *recipients.strangers()]
+        near = [*recipients.domain_peers(), *recipients.unheard_peers()]
         self.link.send(message, near)
         self.link.send(message, recipients.other_relays(), Scope.DOMAIN)
 
-    def informed(self, knows: Callable[[Heartbeat], bool]) -> list[str]:
-        """Return the addresses of peers to be asked for what was missed here."""
-        return self._recipients.informed(knows)
+    def informed_peers(self, is_informed: Callable[[Heartbeat], bool]) -> list[str]:
+        """Return the addresses of peers to fetch a missed update from."""
+        return self._recipients.informed_peers(is_informed)
 
     @property
     def delay_seconds(self) -> float:
-        """How old others' jobs are when they are heard of."""
+        """The age of peers' new jobs when they are recorded here, in seconds."""
         return update_delay_seconds(self._recipients.known_members)
 
     def _is_leaving(self) -> bool:
@@ -228,7 +244,7 @@
             limits=self.limits.reports(now),
         )
 
-    def _tell_within(self, seconds: float) -> None:
+    def _send_heartbeat_within(self, seconds: float) -> None:
         at = self._loop.time() + seconds
         due = self._next_heartbeat
         if due is None or due.when() > at:
@@ -236,16 +252,17 @@
                 due.cancel()
             self._next_heartbeat = self._loop.call_at(at, self.send_heartbeat)
 
-    # Hearing
+    # Receiving
 
     def _receive(self, envelope: Envelope, source: str) -> None:
-        self._take_message(envelope, source)
-        # One line for all: a fleet that starts at once meets everybody in one moment.
-        for listed in id_lists(self._met_ids):
+        self._handle_message(envelope, source)
+        # Logged together: when a whole fleet starts, each daemon hears from all others
+        # for the first time within a moment.
+        for listed in id_lists(self._new_ids):
             self._log.info("peer_met", peer=listed)
-        self._met_ids.clear()
+        self._new_ids.clear()
 
-    def _take_message(self, envelope: Envelope, source: str) -> None:
+    def _handle_message(self, envelope: Envelope, source: str) -> None:
         now = self._loop.time()
         message, scope = envelope
         if isinstance(message, Heartbeat):
@@ -253,49 +270,53 @@
         elif isinstance(message, HeartbeatBatch):
             self._recipients.relays.receive(message.relay_id, message.relay_domain, now)
             for relayed in message.heartbeats:
-                if self._take(relayed.heartbeat, relayed.received_at):
-                    self._relaying.pass_on(relayed, scope)
+                if self._record_heartbeat(relayed.heartbeat, relayed.received_at):
+                    self._relaying.forward(relayed, scope)
         elif isinstance(message, EndpointSnapshot):
             if scope is Scope.DOMAIN:
                 self.link.send(message, self._recipients.domain_peers())
             self._listener.endpoints_received(message)
         elif isinstance(message, PermitRequest):
-            self.permits.answer(message, source)
+            self.permits.handle_request(message, source)
         elif isinstance(message, PermitResponse):
-            self.permits.take(message)
+            self.permits.handle_response(message)
 
     def _receive_directly(self, heartbeat: Heartbeat, scope: Scope, now: float) -> None:
         known = self.members.members_by_id.get(heartbeat.daemon_id)
-        # A restarted daemon knows nothing, though it has been known here for long.
+        # A restarted daemon has lost its state, though its id is known here.
         is_new = known is None or known.heartbeat.incarnation != heartbeat.incarnation
-        if not self._take(heartbeat, now):
+        if not self._record_heartbeat(heartbeat, now):
             return
-        self._relaying.pass_on(RelayedHeartbeat(now, heartbeat), scope)
-        if is_new and self._greets(scope):
-            # So that it knows us at once, and serves even if the store, which may
-            # be away just now, has told it nothing yet.
-            self._greet(heartbeat.peer_address, now)
+        self._relaying.forward(RelayedHeartbeat(now, heartbeat), scope)
+        if is_new and self._answers_newcomers(scope):
+            # The newcomer learns of this daemon and of the endpoints at once, and can
+            # serve even while the store is unavailable.
+            self._answer_newcomer(heartbeat.peer_address, now)
             self._listener.peer_joined(heartbeat.peer_address)
 
-    def _greet(self, peer_address: str, now: float) -> None:
+    def _answer_newcomer(self, peer_address: str, now: float) -> None:
         self._sequence += 1
         limits = self.limits.all_reports(now)
-        greeting = self._heartbeat(now)._replace(limits=limits)
-        self.link.send(greeting, [peer_address])
+        heartbeat = self._heartbeat(now)._replace(limits=limits)
+        self.link.send(heartbeat, [peer_address])
+
+    def _answers_newcomers(self, scope: Scope) -> bool:
+        """Whether this daemon answers a newcomer.
 
-    def _greets(self, scope: Scope) -> bool:
-        """Whether this daemon answers a newcomer: in a large fleet a few are enough."""
+        In a large fleet only the relays do, and the daemons that a newcomer has asked
+        to forward its heartbeat to the whole fleet.
+        """
         if scope is Scope.FLEET or not self._recipients.has_relays:
             return True
         return self._recipients.own_relay() is None
 
-    def _take(self, heartbeat: Heartbeat, received_at: float) -> bool:
+    def _record_heartbeat(self, heartbeat: Heartbeat, received_at: float) -> bool:
         daemon_id = heartbeat.daemon_id
         is_unknown = daemon_id not in self.members.members_by_id
         if not self.members.receive(heartbeat, received_at):
             return False
         if is_unknown:
-            self._met_ids.append(daemon_id)
+            self._new_ids.append(daemon_id)
         self.load.receive(daemon_id, heartbeat.jobs, received_at)
         self.slowdowns.receive(heartbeat.slow_engines, received_at)
         self._receive_limits(heartbeat)
@@ -312,7 +333,7 @@
                     peer=heartbeat.daemon_id,
                 )
 
-    def _look(self) -> None:
+    def _evict_silent(self) -> None:
         now = self._loop.time()
         for daemon_id in self.members.detect_silent(now):
             self._log.warning("peer_silent", peer=daemon_id)
--- a/cranberrywick/gateway/permits.py
+++ b/cranberrywick/gateway/permits.py
@@ -13,21 +13,24 @@
 
 __all__ = ["Admission", "EndpointPermits"]
 
-# A steward answers from memory. Datagrams may be lost, so it is asked a second time.
+# Longest waits for a steward's response to the first and to the second request, in
+# seconds. A steward answers from memory; the second request is sent because datagrams
+# may be lost.
 FIRST_ANSWER_SECONDS = 0.05
 SECOND_ANSWER_SECONDS = 0.1
-# How often a request that waits for its moment looks whether it is still to wait.
-LOOK_SECONDS = 0.05
-# A permit that could not be used for so long after its moment is void: a daemon that
-# stood still would otherwise send all that it had waiting at once.
-LATEST_USE_SECONDS = 0.2
+# Longest pause, in seconds, after which a request that waits for its permit's moment
+# checks whether the permit is still valid.
+RECHECK_SECONDS = 0.05
+# Longest time after its moment for which a permit can be used, in seconds. A daemon
+# that was paused for longer would otherwise send all its waiting requests at once.
+MAX_USE_DELAY_SECONDS = 0.2
 
 
 class Admission(NamedTuple):
     """Whether a request may be sent to an endpoint now.
 
-    ``steward`` is the daemon that was asked last, empty where the endpoint has no
-    limit.
+    ``steward`` is the id of the daemon that the last permit was requested from, empty
+    for an endpoint without a limit.
     """
 
     granted: bool
@@ -35,7 +38,7 @@
 
 
 class EndpointPermits:
-    """Asks stewards for permits, and answers the daemons that ask this one.
+    """Requests permits from stewards, and grants them where this daemon is the steward.
 
     ``send`` sends a message to addresses of peers. Everything runs on the event loop.
 
@@ -57,25 +60,30 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
         self._unanswered = ThrottledLog(log, self._loop.time)
-        # Numbers of an earlier process of this address must not be taken for ours.
+        # Starts at random, so that late responses to an earlier process at this address
+        # match no request of this one.
         self._number = random.getrandbits(48)
         self._pending_by_number: dict[int, asyncio.Future[Permit]] = {}
 
     async def admit(self, endpoint_id: str, longest_wait: float) -> Admission:
-        """Wait until a request may be sent to an endpoint, up to so many seconds."""
+        """Wait until a request may be sent to an endpoint.
+
+        Return a refusal if that takes more than ``longest_wait`` seconds, if the
+        steward refuses a permit or if it does not answer.
+        """
         until = self._loop.time() + longest_wait
         steward_id = ""
         while (rate := self._limits.rate(endpoint_id)) < inf:
             left = max(0.0, until - self._loop.time())
-            steward_id, permit = await self._ask(endpoint_id, left)
+            steward_id, permit = await self._request_permit(endpoint_id, left)
             if not permit.granted:
                 return Admission(False, steward_id)
             if await self._wait(endpoint_id, rate, steward_id, permit):
                 break
         return Admission(True, steward_id)
 
-    def answer(self, request: PermitRequest, source: str) -> None:
-        """Answer a daemon that asks this one as a steward."""
+    def handle_request(self, request: PermitRequest, source: str) -> None:
+        """Handle a peer's request for a permit of which this daemon is the steward."""
         now = self._loop.time()
         change = self._limits.receive(request.limit)
         if change is not None:
@@ -83,13 +91,15 @@
         permit = self._limits.grant(request.limit.endpoint_id, request.terms, now)
         self._send(PermitResponse(request.number, permit), [source])
 
-    def take(self, response: PermitResponse) -> None:
-        """Take a steward's answer."""
+    def handle_response(self, response: PermitResponse) -> None:
+        """Handle a steward's response to a request of this daemon."""
         pending = self._pending_by_number.get(response.number)
         if pending is not None and not pending.done():
             pending.set_result(response.permit)
 
-    async def _ask(self, endpoint_id: str, longest_wait: float) -> tuple[str, Permit]:
+    async def _request_permit(
+        self, endpoint_id: str, longest_wait: float
+    ) -> tuple[str, Permit]:
         now = self._loop.time()
         steward = self._limits.steward(endpoint_id, now)
         terms = self._limits.terms(endpoint_id, longest_wait, now)
@@ -100,7 +110,7 @@
         self._number += 1
         limit = self._limits.report(endpoint_id)
         request = PermitRequest(self._number, terms, limit)
-        permit = await self._ask_peer(request, steward.peer_address)
+        permit = await self._request_from_peer(request, steward.peer_address)
         now = self._loop.time()
         if permit is None:
             self._limits.record_unanswered(endpoint_id, now)
@@ -111,7 +121,9 @@
         self._limits.record_permit(endpoint_id, permit, now)
         return steward.daemon_id, permit
 
-    async def _ask_peer(self, request: PermitRequest, address: str) -> Permit | None:
+    async def _request_from_peer(
+        self, request: PermitRequest, address: str
+    ) -> Permit | None:
         pending = self._loop.create_future()
         self._pending_by_number[request.number] = pending
         try:
@@ -127,16 +139,20 @@
     async def _wait(
         self, endpoint_id: str, rate: float, steward_id: str, permit: Permit
     ) -> bool:
-        """Wait for a permit's moment; return False for one that is void by then."""
-        moment = self._loop.time() + permit.wait_seconds
-        while (left := moment - self._loop.time()) > 0:
-            await asyncio.sleep(min(left, LOOK_SECONDS))
+        """Wait for a permit's moment; return False if the permit became void.
+
+        It does if the known limit has fallen, another daemon is the steward or the
+        permit is used too late.
+        """
+        usable_at = self._loop.time() + permit.wait_seconds
+        while (left := usable_at - self._loop.time()) > 0:
+            await asyncio.sleep(min(left, RECHECK_SECONDS))
             known_rate = self._limits.rate(endpoint_id)
             if known_rate == inf:
                 return True
             if known_rate < rate or self._steward_id(endpoint_id) != steward_id:
                 return False
-        return self._loop.time() - moment <= LATEST_USE_SECONDS
+        return self._loop.time() - usable_at <= MAX_USE_DELAY_SECONDS
 
     def _steward_id(self, endpoint_id: str) -> str:
         steward = self._limits.steward(endpoint_id, self._loop.time())
--- a/cranberrywick/gateway/recipients.py
+++ b/cranberrywick/gateway/recipients.py
@@ -1,4 +1,4 @@
-"""To whom a daemon's messages go: to everybody, or in a large fleet to the relays."""
+"""Who receives a daemon's messages: all others, or in a large fleet the relays."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 
 
 class Recipients:
-    """Chooses addresses by who is known, who lives and who relays.
+    """Selects addresses by the daemons that are known, alive and relays.
 
-    ``is_leaving`` says whether this daemon itself takes no callers; such a one does
-    not relay. ``clock`` returns the time in seconds.
+    ``is_leaving`` returns whether this daemon itself accepts no callers; a leaving
+    daemon is not chosen as a relay. ``clock`` returns the time in seconds.
     """
 
     def __init__(
@@ -41,9 +41,10 @@
 
     @property
     def most_members(self) -> int:
-        """How many daemons may live, this one included.
+        """How many daemons may be alive, this one included.
 
-        Those that have fallen silent count: they may live on the other side of a cut.
+        Silent daemons count: they may be alive on the other side of a network
+        partition.
         """
         others = self._members.members_by_id.keys() | self.registered_addresses.keys()
         return 1 + len(others)
@@ -55,26 +56,30 @@
 
     @property
     def direct_scope(self) -> Scope:
-        """Whether those told directly pass it on.
+        """The scope of heartbeats that this daemon sends directly to its peers.
 
-        A daemon that starts while the store is away knows the few that its settings
-        name and no more. In a large fleet none of them may be a relay: unless they
-        pass it on, it stays unknown, is told nothing and refuses its callers.
+        A daemon that starts while the store is unavailable knows only the few daemons
+        that its settings name. In a large fleet none of them may be a relay: unless
+        they forward its heartbeat, it stays unknown, receives nothing and refuses its
+        callers.
         """
         knows_nobody = not self._members.members_by_id and not self.registered_addresses
         return Scope.FLEET if knows_nobody else Scope.NOBODY
 
     def peers(self) -> set[str]:
-        """Return the addresses of all daemons that may live."""
+        """Return the addresses of all other daemons that may be alive."""
         heard = self._members.members_by_id.values()
-        return {m.heartbeat.peer_address for m in heard} | self.strangers()
+        return {m.heartbeat.peer_address for m in heard} | self.unheard_peers()
 
-    def strangers(self) -> set[str]:
-        """Return daemons that are registered but have not been heard."""
+    def unheard_peers(self) -> set[str]:
+        """Return the addresses of registered daemons not heard from so far.
+
+        While no daemon is known, these are the seeds that the settings name.
+        """
         members = self._members.members_by_id
         unheard = {a for i, a in self.registered_addresses.items() if i not in members}
         if not members and not unheard:
-            # Without the store, the start-up settings may still name some peers.
+            # The store has not been read, or names nobody else.
             for seed in self._settings.seeds:
                 unheard.add(f"{seed.rpartition(':')[0]}:{self._port}")
         return unheard - {self._own_address}
@@ -88,7 +93,7 @@
         ]
 
     def own_relay(self) -> Heartbeat | None:
-        """Return the relay of this daemon's domain, None if that is itself."""
+        """Return this failure domain's relay; None if it is this daemon."""
         now = self._clock()
         domain = self._settings.failure_domain
         alive = [b for b in self._members.alive(now) if b.failure_domain == domain]
@@ -99,7 +104,7 @@
         return beats_by_id.get(chosen) if chosen is not None else None
 
     def other_relays(self) -> list[str]:
-        """Return the addresses of the other domains' relays."""
+        """Return the addresses of the other failure domains' relays."""
         now = self._clock()
         by_domain: dict[str, dict[str, Heartbeat]] = defaultdict(dict)
         for beat in self._members.alive(now):
@@ -112,14 +117,17 @@
             addresses.append(beats_by_id[chosen].peer_address)
         return addresses
 
-    def informed(self, knows: Callable[[Heartbeat], bool]) -> list[str]:
-        """Return the addresses of peers to be asked for what was missed here.
+    def informed_peers(self, is_informed: Callable[[Heartbeat], bool]) -> list[str]:
+        """Return the addresses of peers to fetch a missed update from.
 
-        Of those that know it the ones of the own failure domain, if there are any.
-        Not only its relay: where many ask at once, as after a start of the whole fleet,
-        each that was told can tell others.
+        These are the alive daemons for whose heartbeat ``is_informed`` returns True; if
+        some of them are in the own failure domain, only those. They are not just its
+        relay: when many daemons fetch at once, as after a start of the whole fleet,
+        each daemon that has fetched can serve others.
         """
-        informed = [beat for beat in self._members.alive(self._clock()) if knows(beat)]
+        informed_beats = [
+            beat for beat in self._members.alive(self._clock()) if is_informed(beat)
+        ]
         domain = self._settings.failure_domain
-        near = [beat for beat in informed if beat.failure_domain == domain]
-        return [beat.peer_address for beat in near or informed]
+        near = [beat for beat in informed_beats if beat.failure_domain == domain]
+        return [beat.peer_address for beat in near or informed_beats]
--- a/cranberrywick/gateway/relaying.py
+++ b/cranberrywick/gateway/relaying.py
@@ -1,4 +1,4 @@
-"""Heartbeats that a relay collects for some milliseconds and passes on."""
+"""Heartbeats that a relay collects for `FLUSH_SECONDS` and forwards together."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,12 +12,17 @@
 
 __all__ = ["HeartbeatRelaying"]
 
-# Heartbeats in one datagram; a link divides it where they are too long for one.
-MOST_IN_BATCH = 100
+# Largest number of heartbeats in one batch. `FleetLink` divides a batch that is too
+# long for a datagram.
+MAX_BATCH_HEARTBEATS = 100
 
 
 class HeartbeatRelaying:
-    """Passes on to the own failure domain, and to the other domains' relays."""
+    """Forwards heartbeats to the own failure domain and to the other domains' relays.
+
+    ``send`` sends a message to addresses, with the scope in which the receivers
+    forward it further.
+    """
 
     def __init__(self, settings: GatewaySettings, recipients: Recipients, send: Send):
         self._settings = settings
@@ -25,12 +30,12 @@
         self._send = send
         self._loop = asyncio.get_running_loop()
         self._flush: asyncio.TimerHandle | None = None
-        # What waits to be passed on, by the daemon that it is of.
+        # The newest heartbeat of each daemon that waits to be forwarded.
         self._for_domain: dict[str, RelayedHeartbeat] = {}
         self._for_others: dict[str, RelayedHeartbeat] = {}
 
-    def pass_on(self, relayed: RelayedHeartbeat, scope: Scope) -> None:
-        """Collect a heartbeat for all whom it has not reached."""
+    def forward(self, relayed: RelayedHeartbeat, scope: Scope) -> None:
+        """Collect a heartbeat to forward, to the daemons that ``scope`` names."""
         daemon_id = relayed.heartbeat.daemon_id
         if scope is not Scope.NOBODY:
             self._for_domain[daemon_id] = relayed
@@ -40,7 +45,7 @@
             self._flush = self._loop.call_later(FLUSH_SECONDS, self.flush)
 
     def flush(self) -> None:
-        """Pass on at once what was collected."""
+        """Forward the collected heartbeats at once."""
         if self._flush is not None:
             self._flush.cancel()
             self._flush = None
@@ -51,7 +56,10 @@
             self._send_batches(others, self._recipients.other_relays(), Scope.DOMAIN)
 
     def keep_alive(self) -> None:
-        """Say that this relay lives, where nothing else has said so lately."""
+        """Send empty batches if this daemon is a relay and has none to forward.
+
+        Without them the others would take the relay for silent and choose another.
+        """
         recipients = self._recipients
         if not recipients.has_relays or recipients.own_relay() is not None:
             return
@@ -67,8 +75,8 @@
     ) -> None:
         addresses = list(addresses)
         relayed = tuple(relayed_by_id.values())
-        for start in range(0, max(1, len(relayed)), MOST_IN_BATCH):
-            part = relayed[start : start + MOST_IN_BATCH]
+        for start in range(0, max(1, len(relayed)), MAX_BATCH_HEARTBEATS):
+            part = relayed[start : start + MAX_BATCH_HEARTBEATS]
             batch = HeartbeatBatch(
                 self._settings.daemon_id, self._settings.failure_domain, part
             )
--- a/cranberrywick/gateway/state.py
+++ b/cranberrywick/gateway/state.py
@@ -1,7 +1,7 @@
-"""What one daemon knows of the fleet, kept fresh.
+"""The state of the fleet as one daemon knows it, and how it is kept up to date.
 
-Everything here runs on the event loop. The store is called through `StoreReader`
-actors, peers through `PeerUpdates`.
+Everything here runs on the event loop. `StoreReader` actors call the store, and
+`PeerUpdates` exchanges messages with the other daemons.
 """
 
 import asyncio
@@ -46,25 +46,31 @@
 
 __all__ = ["FleetState"]
 
-# How often it is looked whether knowledge has got old, at the most; a call that is
-# under way is due until it is answered.
-LEAST_LOOK_SECONDS = 0.05
-# A daemon that starts reads the store at once. The largest configuration takes most of
-# this on a narrow link; requests that come meanwhile are held.
+# Shortest pause between two checks whether the store must be read again, in seconds. A
+# reading stays due until its call is answered; without a minimum the checks would
+# follow one another without a pause meanwhile.
+MIN_CHECK_SECONDS = 0.05
+# Longest time after the start during which requests are held until the daemon is
+# ready, in seconds. A daemon that starts reads the store at once; on a narrow link the
+# largest configuration takes most of this time.
 STARTING_SECONDS = 1.0
-# At the least: the rank of a daemon falls when others die, and it reads earlier then.
-LONGEST_LOOK_SECONDS = 0.3
-# All endpoints are fetched from a peer at most so often, the less the more there are:
-# while thousands register, a peer is behind as well when its answer comes.
-FETCH_AGAIN_SECONDS = 0.5
-FETCH_AGAIN_SECONDS_PER_ENDPOINT = 0.0005
+# Longest pause between two checks whether the store must be read again, in seconds.
+# When other daemons die, this daemon's rank falls and its readings are due earlier than
+# computed at the last check.
+MAX_CHECK_SECONDS = 0.3
+# Shortest interval between two fetches of all endpoints from a peer: the larger of a
+# fixed number of seconds and a number of seconds for each known endpoint. While
+# thousands of endpoints register, a peer's answer is out of date when it arrives, and
+# fetching more often gains nothing.
+REFETCH_SECONDS = 0.5
+REFETCH_SECONDS_PER_ENDPOINT = 0.0005
 
 
 class FleetState:
-    """The daemon's knowledge: configuration, endpoints, members, load.
+    """Keeps the configuration, the endpoints, the other daemons and their load.
 
-    ``decode`` turns the operators' document into a configuration. ``changed`` is
-    called after any change that may let waiting requests go on.
+    ``decode`` parses the operators' document into a configuration. ``changed`` is
+    called after each change that may let waiting requests proceed.
     """
 
     def __init__(
@@ -84,8 +90,8 @@
         self._endpoints = EndpointTracker(log)
         self.peer_updates = PeerUpdates(settings, self, log)
         self.leaving = False
-        self._was_ready = asyncio.Event()
-        self._starts_until = float("inf")
+        self._became_ready = asyncio.Event()
+        self._start_deadline = float("inf")
         self.changed: Callable[[], None] = lambda: None
         self._fetches = PeerFetches(lambda: self.peer_updates.link, log)
         self._fetch_not_before = float("-inf")
@@ -101,29 +107,29 @@
         )
 
     async def start(self) -> None:
-        """Begin to listen, read and tell."""
-        self._starts_until = self._loop.time() + STARTING_SECONDS
+        """Start to receive and send updates and to read the store."""
+        self._start_deadline = self._loop.time() + STARTING_SECONDS
         await self.peer_updates.start(self._ticker)
-        self._look()
+        self._read_if_due()
         self._registration.start(self._ticker)
-        self._ticker.when_due(self._look, self._look_pause)
+        self._ticker.when_due(self._read_if_due, self._seconds_until_due)
 
     async def wait_for_start(self, deadline: float) -> None:
-        """Wait until requests could be served for the first time.
+        """Wait until this daemon is ready to serve requests for the first time.
 
-        No longer than a start may take and a deadline allows: what is not known by
-        then may not be known for long.
+        Return at ``deadline`` or `STARTING_SECONDS` after the start at the latest: a
+        daemon that is not ready by then may not become ready for long.
         """
-        if self._was_ready.is_set():
+        if self._became_ready.is_set():
             return
         try:
-            async with asyncio.timeout_at(min(deadline, self._starts_until)):
-                await self._was_ready.wait()
+            async with asyncio.timeout_at(min(deadline, self._start_deadline)):
+                await self._became_ready.wait()
         except TimeoutError:
-            return  # The request is refused for what is not known yet.
+            return  # The caller refuses the request because of the missing state.
 
     def leave(self) -> None:
-        """Tell the others that this daemon takes no new callers."""
+        """Announce that this daemon accepts no new callers; end its registration."""
         self.leaving = True
         self.peer_updates.send_heartbeat()
         self._registration.end()
@@ -135,27 +141,27 @@
 
     @property
     def load(self) -> FleetLoad:
-        """What the fleet has at each endpoint."""
+        """The jobs that the daemons of the fleet have at each endpoint."""
         return self.peer_updates.load
 
     @property
     def registry(self) -> EndpointRegistry:
-        """The endpoints that may be used."""
+        """The endpoints that are tracked."""
         return self._endpoints.registry
 
     @property
     def table(self) -> RouteTable | None:
-        """The routes of the configuration in force; None before the first."""
+        """The routes of the configuration in force; None before the first one."""
         return self._operator.table
 
     @property
     def domains_out(self) -> frozenset[str]:
-        """The failure domains that get no new work."""
+        """The failure domains that are out of service and get no new work."""
         return self._operator.domains_out
 
     @property
     def restrictions(self) -> Restrictions:
-        """What keeps endpoints from new work."""
+        """The failure domains that are out, and the drain and evacuation times."""
         bounds = self._settings.bounds
         return Restrictions(
             self._operator.out_since_by_domain,
@@ -164,13 +170,13 @@
         )
 
     def last_resort(self, service: str) -> EndpointPool:
-        """Return what a service may use while it has no other endpoint."""
+        """Return the endpoints that a service may use while it has no others."""
         return last_resort(
             self.registry.index, service, self.restrictions, self._loop.time()
         )
 
     def may_send(self, endpoint_id: str, as_last_resort: bool) -> bool:
-        """Whether an endpoint may be sent to in this very moment."""
+        """Whether a request may be sent to an endpoint at this moment."""
         tracked = self.registry.tracked_by_id.get(endpoint_id)
         if tracked is None:
             return False
@@ -180,7 +186,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Whether this daemon can serve requests."""
         return (
             self.table is not None
             and bool(self.registry.tracked_by_id)
@@ -189,17 +195,17 @@
 
     @property
     def store_is_away(self) -> bool:
-        """Whether the last call of the store got no answer."""
+        """Whether the last call of some kind to the store got no usable answer."""
         return self._calls.store_is_away
 
     def operator_age(self, now: float) -> float:
-        """Return how many seconds ago the operators' view was the newest."""
+        """Return the seconds since the operators' view was known to be the newest."""
         return self._operator.age(now)
 
-    # What PeerUpdates asks and tells
+    # Methods that PeerUpdates calls
 
     def daemon_status(self, now: float) -> DaemonStatus:
-        """Return what this daemon tells of itself."""
+        """Return the part of a heartbeat that describes this daemon's own state."""
         return DaemonStatus(
             leaving=not self.ready,
             operator_revision=self._operator.revision,
@@ -208,7 +214,7 @@
         )
 
     def heartbeat_received(self, heartbeat: Heartbeat, received_at: float) -> None:
-        """Compare the operators' view of a peer with this daemon's."""
+        """Fetch the operators' view if a peer's heartbeat announces a newer one."""
         newest_at = received_at - heartbeat.operator_age
         is_newer = self._operator.compare(
             heartbeat.operator_revision, heartbeat.operator_digest, newest_at
@@ -218,24 +224,24 @@
         self.changed()
 
     def endpoints_received(self, snapshot: EndpointSnapshot) -> None:
-        """Take a peer's reading of the endpoints."""
+        """Apply a peer's snapshot of the endpoints; fetch all after a missed update."""
         was_ready = self.ready
         outcome = self._endpoints.apply_peer_snapshot(snapshot, self._loop.time())
         if outcome is not PeerSnapshotOutcome.OLD:
             self._calls.policies["endpoints"].arrived(snapshot.age)
         if outcome is PeerSnapshotOutcome.CHANGED:
-            self._note_change(was_ready)
+            self._handle_change(was_ready)
         elif outcome is PeerSnapshotOutcome.MISSED:
-            self._fetch_endpoints_unless_read()
+            self._fetch_endpoints_if_due()
 
     def peer_joined(self, peer_address: str) -> None:
-        """Tell a daemon that has just started the endpoints."""
+        """Send the endpoints to a daemon that has just started."""
         snapshot = self._endpoints.initial_snapshot(self._loop.time())
         if snapshot is not None:
             self.peer_updates.link.send(snapshot, [peer_address])
 
     def answer(self, request: SnapshotRequest) -> Message | None:
-        """Return what a peer that asks is told; None while nothing is known."""
+        """Return the snapshot that a peer requests; None if there is none yet."""
         if isinstance(request, EndpointSnapshotRequest):
             return self._endpoints.full_snapshot(self._loop.time())
         view = self._operator.view
@@ -244,7 +250,10 @@
         return OperatorSnapshot(view, self._operator.age(self._loop.time()))
 
     def declared_rate(self, endpoint_id: str) -> float:
-        """Return how many requests a second a cold endpoint takes; else infinity."""
+        """Return the declared limit of a cold endpoint in requests a second.
+
+        Infinity for an endpoint that is not cold or whose service declares none.
+        """
         tracked = self.registry.tracked_by_id.get(endpoint_id)
         table = self.table
         if tracked is None or table is None or self._loop.time() >= tracked.cold_until:
@@ -253,22 +262,22 @@
         return service.cold_rate if service and service.cold_rate > 0 else inf
 
     def _fetch_operator(self, revision: int) -> None:
-        def informed() -> list[str]:
-            return self.peer_updates.informed(
+        def informed_peers() -> list[str]:
+            return self.peer_updates.informed_peers(
                 lambda beat: beat.operator_revision >= revision
             )
 
-        def take(snapshot: Message, source: str, asked_at: float) -> None:
+        def apply_answer(snapshot: Message, source: str, requested_at: float) -> None:
             if isinstance(snapshot, OperatorSnapshot):
-                self._take_operator(snapshot.view, asked_at - snapshot.age, source)
+                self._apply_operator(snapshot.view, requested_at - snapshot.age, source)
 
-        self._fetches.begin(OperatorSnapshotRequest(), informed, take)
+        self._fetches.begin(OperatorSnapshotRequest(), informed_peers, apply_answer)
 
-    def _fetch_endpoints_unless_read(self) -> None:
-        """Fetch all endpoints, but not again and again and not beside a reading.
+    def _fetch_endpoints_if_due(self) -> None:
+        """Fetch all endpoints, unless fetched lately or being read from the store.
 
-        Of thousands of endpoints some change with every reading; a daemon that lags
-        behind would do little else.
+        Among thousands of endpoints some change with every reading. Without a minimum
+        interval, a daemon that lags behind would do little else than fetch.
         """
         now = self._loop.time()
         if now < self._fetch_not_before or self._calls.is_under_way(
@@ -276,26 +285,26 @@
         ):
             return
         known = len(self.registry.tracked_by_id)
-        pause = max(FETCH_AGAIN_SECONDS, known * FETCH_AGAIN_SECONDS_PER_ENDPOINT)
+        pause = max(REFETCH_SECONDS, known * REFETCH_SECONDS_PER_ENDPOINT)
         self._fetch_not_before = now + pause
         self._fetch_endpoints()
 
     def _fetch_endpoints(self) -> None:
-        """Ask a peer for all endpoints, after news of a change was missed."""
+        """Request a snapshot of all endpoints from a peer, after a missed update."""
 
-        def informed() -> list[str]:
-            return self.peer_updates.informed(lambda beat: not beat.leaving)
+        def informed_peers() -> list[str]:
+            return self.peer_updates.informed_peers(lambda beat: not beat.leaving)
 
-        def take(snapshot: Message, source: str, asked_at: float) -> None:
+        def apply_answer(snapshot: Message, source: str, requested_at: float) -> None:
             if isinstance(snapshot, EndpointSnapshot):
-                age = snapshot.age + self._loop.time() - asked_at
+                age = snapshot.age + self._loop.time() - requested_at
                 self.endpoints_received(snapshot._replace(age=age))
 
-        self._fetches.begin(EndpointSnapshotRequest(), informed, take)
+        self._fetches.begin(EndpointSnapshotRequest(), informed_peers, apply_answer)
 
-    # Calls of the store
+    # Calls to the store
 
-    def _look(self) -> None:
+    def _read_if_due(self) -> None:
         now = self._loop.time()
         if self._is_due("endpoints", self.registry.age(now), now):
             self._calls.make(
@@ -306,13 +315,14 @@
 
     def _is_due(self, reader: str, age: float, now: float) -> bool:
         policy = self._calls.policies[reader]
-        # The first in rank reads earliest, so the rank matters only after that.
+        # A reading is due earliest for rank 0. The own rank takes longer to determine
+        # and is needed only once that moment has passed.
         if not policy.is_due(age, 0, now):
             return False
         return policy.is_due(age, self.members.rank(now), now)
 
-    def _look_pause(self) -> float:
-        """Return after how many seconds knowledge may have got old."""
+    def _seconds_until_due(self) -> float:
+        """Return the seconds until a reading may be due, within the bounds above."""
         now = self._loop.time()
         rank = self.members.rank(now)
         policies = self._calls.policies
@@ -320,35 +330,36 @@
             policies["endpoints"].due_in(self.registry.age(now), rank, now),
             policies["operator"].due_in(self.operator_age(now), rank, now),
         )
-        return min(max(LEAST_LOOK_SECONDS, due_in), LONGEST_LOOK_SECONDS)
+        return min(max(MIN_CHECK_SECONDS, due_in), MAX_CHECK_SECONDS)
 
     def _endpoints_read(self, view: EndpointView, read_at: float) -> None:
         now = self._loop.time()
         was_ready = self.ready
-        taken = self._endpoints.apply_store_snapshot(view, read_at, now)
-        if taken.changed:
-            self._note_change(was_ready)
-        if taken.snapshot is not None:
-            self.peer_updates.broadcast(taken.snapshot)
+        outcome = self._endpoints.apply_store_snapshot(view, read_at, now)
+        if outcome.changed:
+            self._handle_change(was_ready)
+        if outcome.snapshot is not None:
+            self.peer_updates.broadcast(outcome.snapshot)
 
     def _operator_read(self, view: OperatorView, read_at: float) -> None:
-        if not self._take_operator(view, read_at, "store"):
-            # So that the others know how fresh theirs is.
+        if not self._apply_operator(view, read_at, "store"):
+            # The next heartbeat shows the peers how recent their equal view is.
             self.peer_updates.job_added()
 
-    def _take_operator(self, view: OperatorView, read_at: float, source: str) -> bool:
+    def _apply_operator(self, view: OperatorView, read_at: float, source: str) -> bool:
         was_ready = self.ready
         if not self._operator.apply(view, read_at, source):
             return False
-        # Whoever has not got it yet may ask this daemon from now on.
+        # Peers that lack this view learn from the heartbeat that they can fetch it
+        # here.
         self.peer_updates.send_heartbeat()
-        self._note_change(was_ready)
+        self._handle_change(was_ready)
         return True
 
-    def _note_change(self, was_ready: bool) -> None:
-        """Let requests go on, and tell at once whether callers may be sent here."""
+    def _handle_change(self, was_ready: bool) -> None:
+        """Let waiting requests proceed; announce a change of readiness at once."""
         if self.ready:
-            self._was_ready.set()
+            self._became_ready.set()
         if self.ready != was_ready:
             self._log.info("ready_changed", ready=self.ready)
             self.peer_updates.send_heartbeat()
