--- a/cranberrywick/gateway/endpoint_snapshot.py
+++ b/cranberrywick/gateway/endpoint_snapshot.py
@@ -1,11 +1,12 @@
-"""Readings of the registered endpoints, as daemons tell them to one another.
+"""Snapshots of the registered endpoints, as daemons send them to one another.
 
 Load pattern: endpoints are replaced one after the other while every daemon must know
-within a second or two which of them leave. Told whole at each change, the records of
-some hundred endpoints fill the links of a relay that passes them on to forty daemons:
-datagrams are lost, and daemons that the store turns away send requests to endpoints
-that left seconds before. Told as differences they are some hundred bytes; who has
-missed one asks a peer for the whole over a connection, which loses nothing.
+within a second or two which of them leave. If all records were sent at each change,
+those of some hundred endpoints would fill the links of a relay that forwards them to
+forty daemons: datagrams would be lost, and daemons that the store turns away would send
+requests to endpoints that left seconds before. As differences, updates take some
+hundred bytes; a daemon that has missed one requests all records from a peer over a
+connection, which loses nothing.
 """
 
 import zlib
@@ -21,7 +22,7 @@
 
 __all__ = ["NO_DELTA", "Applied", "EndpointSnapshot"]
 
-# Stands for no records at all.
+# The base of a snapshot that holds all records.
 NO_BASE = 0
 NO_DELTA = EndpointDelta((), ())
 
@@ -29,13 +30,14 @@
 class EndpointSnapshot(NamedTuple):
     """The registered endpoints as they were read ``age`` seconds ago.
 
-    ``digest`` identifies their records. ``changes`` lead to these from what the teller
-    knew before; without any they are the same as before.
+    ``revision`` is the store's, and ``digest`` identifies the records. ``changes``
+    holds, packed, the changes that lead from an earlier state to these records. It is
+    empty if nothing has changed lately or the records are to be requested.
     """
 
     @property
     def log_kind(self) -> str:
-        """Stays what log lines have always named."""
+        """The name of this kind of message in log lines."""
         return "EndpointReading"
 
     revision: int
@@ -45,7 +47,7 @@
 
     @classmethod
     def whole(cls, view: EndpointView, digest: int, age: float) -> "EndpointSnapshot":
-        """Return a reading with all records."""
+        """Return a snapshot with all records."""
         changes = _pack_changes(NO_BASE, view.records_by_id, ())
         return cls(view.revision, age, digest, changes)
 
@@ -58,20 +60,22 @@
         delta: EndpointDelta,
         base: int,
     ) -> "EndpointSnapshot":
-        """Return a reading for who knows the view with digest ``base``, or one near it.
+        """Return a snapshot that holds the difference to the view with digest ``base``.
 
-        ``delta`` holds at least what leads from that view to this one.
+        ``delta`` holds all changes from that view to ``view``. It may hold more, so
+        that the snapshot can also be applied to views shortly before or after the base.
         """
         records_by_id = {record.endpoint_id: record for record in delta.changed}
         changes = _pack_changes(base, records_by_id, delta.gone_ids)
         return cls(view.revision, age, digest, changes)
 
     def applied_to(self, view: EndpointView | None, digest: int) -> "Applied | None":
-        """Return the records, for who knows ``view`` with this digest.
+        """Return the result of applying this snapshot to ``view`` with this digest.
 
-        None where the changes do not lead from there to what was read. They mostly do,
-        also from a somewhat older or newer state than the teller's. Raises
-        `PeerMessageInvalid`.
+        None if the changes do not lead from there to this snapshot's digest. Mostly
+        they do, also from a slightly older or newer state than the sender's. Raises
+        `PeerMessageInvalid` for changes that can't be read, and for those that do not
+        lead to the digest although they hold all records or start from this view.
         """
         if view is not None and digest == self.digest:
             return Applied(view._replace(revision=self.revision), NO_DELTA)
@@ -96,7 +100,7 @@
 
 
 class Applied(NamedTuple):
-    """A view after a reading, and what that has changed."""
+    """A view after a snapshot was applied, and what the snapshot changed."""
 
     view: EndpointView
     delta: EndpointDelta
--- a/cranberrywick/gateway/endpoint_tracker.py
+++ b/cranberrywick/gateway/endpoint_tracker.py
@@ -1,4 +1,4 @@
-"""The registered endpoints, as this daemon knows them."""
+"""The registered endpoints that this daemon tracks, and the updates it sends."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -12,18 +12,25 @@
 
 __all__ = ["EndpointTracker", "PeerSnapshotOutcome", "StoreSnapshotOutcome"]
 
-# Records of so many endpoints fit in a datagram with room to spare.
-MOST_TOLD_ENDPOINTS = 500
-# For so long a change is told again with each reading: several of these in a row are
+# Largest number of endpoints in an update. The records of this many fit in a datagram
+# with room to spare.
+MAX_UPDATE_ENDPOINTS = 500
+# Time for which each update repeats a change, in seconds. Several updates in a row are
 # hardly ever lost.
-RETELL_SECONDS = 2.0
-# Hundreds of endpoints register each second when a large deployment starts. So many,
-# the new ones among them, fit in a datagram.
-MOST_RETOLD_ENDPOINTS = 450
+RESEND_SECONDS = 2.0
+# Largest number of recently changed endpoints, the new ones included, that an update
+# repeats. When a large deployment starts, hundreds of endpoints register each second;
+# this many fit in a datagram.
+MAX_RESENT_ENDPOINTS = 450
 
 
 class PeerSnapshotOutcome(Enum):
-    """What a peer's reading says to who takes it; MISSED: one before it is lacking."""
+    """The effect of a peer's snapshot on the state of the daemon that applies it.
+
+    OLD: the own state is as new or newer. SAME: the records are equal.
+    CHANGED: records changed. MISSED: the snapshot can't be applied, since an earlier
+    update is missing.
+    """
 
     OLD = auto()
     SAME = auto()
@@ -32,10 +39,10 @@
 
 
 class StoreSnapshotOutcome(NamedTuple):
-    """Whether a reading of the store changed anything, and what is told of it.
+    """Whether a snapshot of the store changed anything, and the update for peers.
 
-    Nothing is told of a first reading, for at a start of the whole fleet each daemon
-    makes one, nor of more changes than a datagram holds.
+    There is no update after the first snapshot, since at a start of the whole fleet
+    each daemon reads one, and none for more changes than a datagram holds.
     """
 
     changed: bool
@@ -43,73 +50,75 @@
 
 
 class EndpointTracker:
-    """Takes readings of the endpoints, from store or peers, and logs changes."""
+    """Applies snapshots of the endpoints, from the store or peers, and logs changes."""
 
     def __init__(self, log: EventLog):
         self._log = log
         self.registry = EndpointRegistry()
         self._view: EndpointView | None = None
         self._digest = 0
-        # Packed once for all who ask for it.
-        self._whole: EndpointSnapshot | None = None
+        # Packed once for all peers that request it.
+        self._full_snapshot: EndpointSnapshot | None = None
         self._changed_at_by_id: dict[str, float] = {}
         self._unusable_ids: frozenset[str] = frozenset()
 
     def apply_store_snapshot(
         self, view: EndpointView, read_at: float, now: float
     ) -> StoreSnapshotOutcome:
-        """Take a reading of the store and return what the others are told of it."""
+        """Apply a snapshot read from the store; return the update to send to peers."""
         base_view, base = self._view, self._digest
         known = base_view or EndpointView(0, {})
         delta = view.delta_from(known)
         digest = known.digest_with_delta(delta, base)
-        changed = self._take(Applied(view, delta), digest, read_at, now)
+        changed = self._apply(Applied(view, delta), digest, read_at, now)
         if base_view is None:
             return StoreSnapshotOutcome(changed, None)
         if self._digest == base:
-            # Only cold times, which the others count down themselves.
+            # Only cold times changed, which the peers count down themselves.
             delta = NO_DELTA
-        return StoreSnapshotOutcome(changed, self._told_difference(delta, base, now))
+        return StoreSnapshotOutcome(changed, self._pack_update(delta, base, now))
 
-    def _told_difference(
+    def _pack_update(
         self, delta: EndpointDelta, base: int, now: float
     ) -> EndpointSnapshot | None:
-        """Return what those are told who knew the state ``base`` or one shortly before.
+        """Return an update for peers with the state ``base`` or one shortly before it.
 
-        It repeats the changes of the last moments: a datagram may have been lost, and
-        two daemons that read the store at the same time tell from different states.
+        None for more changes than a datagram holds. The update repeats the changes of
+        the last `RESEND_SECONDS`: a datagram may have been lost, and two daemons that
+        read the store at the same time send updates on top of different states.
         """
         age = self.registry.age(now)
         records_by_id = self._view.records_by_id
-        told_ids = {record.endpoint_id for record in delta.changed}
-        told_ids.update(delta.gone_ids, self._changed_ids(now))
-        if not told_ids:
+        sent_ids = {record.endpoint_id for record in delta.changed}
+        sent_ids.update(delta.gone_ids, self._recently_changed_ids(now))
+        if not sent_ids:
             return EndpointSnapshot(self.registry.revision, age, self._digest)
-        if len(told_ids) > MOST_TOLD_ENDPOINTS:
+        if len(sent_ids) > MAX_UPDATE_ENDPOINTS:
             return None
-        told = EndpointDelta(
-            tuple(records_by_id[i] for i in told_ids if i in records_by_id),
-            tuple(i for i in told_ids if i not in records_by_id),
+        sent = EndpointDelta(
+            tuple(records_by_id[i] for i in sent_ids if i in records_by_id),
+            tuple(i for i in sent_ids if i not in records_by_id),
         )
-        return EndpointSnapshot.difference(self._view, self._digest, age, told, base)
+        return EndpointSnapshot.difference(self._view, self._digest, age, sent, base)
 
-    def _changed_ids(self, now: float) -> list[str]:
-        """Return endpoints that have changed lately, the latest of many."""
-        self._forget_changes(now)
-        return list(self._changed_at_by_id)[-MOST_RETOLD_ENDPOINTS:]
+    def _recently_changed_ids(self, now: float) -> list[str]:
+        """Return the endpoints changed lately, only the latest if they are too many."""
+        self._expire_changes(now)
+        return list(self._changed_at_by_id)[-MAX_RESENT_ENDPOINTS:]
 
-    def _forget_changes(self, now: float) -> None:
+    def _expire_changes(self, now: float) -> None:
         for endpoint_id, changed_at in list(self._changed_at_by_id.items()):
-            if now - changed_at <= RETELL_SECONDS:
+            if now - changed_at <= RESEND_SECONDS:
                 break
             del self._changed_at_by_id[endpoint_id]
 
     def apply_peer_snapshot(
         self, snapshot: EndpointSnapshot, now: float
     ) -> PeerSnapshotOutcome:
-        """Take a peer's reading.
+        """Apply a peer's snapshot.
 
-        Raises `PeerMessageInvalid` for changes that can't be read.
+        Raises `PeerMessageInvalid` for changes that can't be read or that do not lead
+        to the snapshot's digest.
         """
         read_at = now - snapshot.age
         if read_at <= self.registry.read_at:
@@ -117,44 +126,45 @@
         applied = snapshot.applied_to(self._view, self._digest)
         if applied is None:
             return PeerSnapshotOutcome.MISSED
-        if self._take(applied, snapshot.digest, read_at, now):
+        if self._apply(applied, snapshot.digest, read_at, now):
             return PeerSnapshotOutcome.CHANGED
         return PeerSnapshotOutcome.SAME
 
     def full_snapshot(self, now: float) -> EndpointSnapshot | None:
-        """Return all that is known; None if nothing is."""
+        """Return a snapshot with all records; None before the first reading."""
         if self._view is None:
             return None
-        if self._whole is None or self._whole.digest != self._digest:
-            self._whole = EndpointSnapshot.whole(self._view, self._digest, 0.0)
+        if self._full_snapshot is None or self._full_snapshot.digest != self._digest:
+            self._full_snapshot = EndpointSnapshot.whole(self._view, self._digest, 0.0)
         revision, age = self.registry.revision, self.registry.age(now)
-        return self._whole._replace(revision=revision, age=age)
+        return self._full_snapshot._replace(revision=revision, age=age)
 
     def initial_snapshot(self, now: float) -> EndpointSnapshot | None:
-        """Return what a peer is told that may know nothing; None if nothing is known.
+        """Return the snapshot for a peer that may have no state yet.
 
-        That is all that is known, unless it is too much for a datagram: then the peer
-        learns that there is something to ask for.
+        None before the first reading. It holds all records unless they are too
+        many for a datagram; then it holds none, and its digest shows the peer that
+        there are records to request.
         """
-        if self._view is None or len(self._view.records_by_id) <= MOST_TOLD_ENDPOINTS:
+        if self._view is None or len(self._view.records_by_id) <= MAX_UPDATE_ENDPOINTS:
             return self.full_snapshot(now)
         age = self.registry.age(now)
         return EndpointSnapshot(self.registry.revision, age, self._digest)
 
-    def _take(self, applied: Applied, digest: int, read_at: float, now: float) -> bool:
+    def _apply(self, applied: Applied, digest: int, read_at: float, now: float) -> bool:
         view, delta = applied
         changes = self.registry.apply_delta(view, delta, read_at, now)
         if self.registry.read_at == read_at:
             if self._view is not None and digest != self._digest:
-                self._note_changed(delta, now)
+                self._record_changes(delta, now)
             self._view, self._digest = view, digest
-            self._note_unusable(view)
+            self._log_unusable(view)
         self._log_changes(changes, view.revision, now - read_at)
         return bool(changes)
 
-    def _note_changed(self, delta: EndpointDelta, now: float) -> None:
-        """Remember which endpoints have changed, the latest last."""
-        self._forget_changes(now)
+    def _record_changes(self, delta: EndpointDelta, now: float) -> None:
+        """Record which endpoints have changed and when, the latest last."""
+        self._expire_changes(now)
         changed_ids = [record.endpoint_id for record in delta.changed]
         for endpoint_id in (*changed_ids, *delta.gone_ids):
             self._changed_at_by_id.pop(endpoint_id, None)
@@ -176,8 +186,8 @@
                     age=age,
                 )
 
-    def _note_unusable(self, view: EndpointView) -> None:
-        """Log records that can't be read, once for as long as they stand."""
+    def _log_unusable(self, view: EndpointView) -> None:
+        """Log records that can't be read, each once until it can or is removed."""
         unusable = frozenset(view.unusable_ids)
         for endpoint_id in sorted(unusable - self._unusable_ids):
             self._log.warning(
