--- a/cranberrywick/gateway/fleet_link.py
+++ b/cranberrywick/gateway/fleet_link.py
@@ -1,7 +1,8 @@
 """Messages to and from the other daemons: datagrams, and connections for documents.
 
-Heartbeats and readings are complete in themselves, so a lost datagram is made good
-by the next. A configuration can be a megabyte and is fetched over a connection.
+Heartbeats are complete, and snapshots of the endpoints repeat recent changes, so the
+next datagram makes up for a lost one. A configuration can be as large as a megabyte and
+is fetched over a connection.
 """
 
 import asyncio
@@ -26,25 +27,27 @@
 
 __all__ = ["FleetLink", "Send"]
 
-# Sends a message to each of some addresses.
+# Sends a message to each address, with the scope in which the receivers forward it.
 Send = Callable[[Message, list[str], Scope], None]
 
-# The largest UDP payload, less some room for headers.
+# Largest datagram, in bytes: the largest UDP payload less some room for headers.
 MAX_DATAGRAM_BYTES = 60_000
 LENGTH = struct.Struct(">I")
-# A peer answers from memory; a link that takes longer is worse than the store.
+# Longest time for a request and its answer over a connection, in seconds. A peer
+# answers from memory; a link that takes longer is worse than a reading of the store.
 FETCH_SECONDS = 1.0
-# A new configuration is asked for by the whole fleet in one moment. Who is not served
-# asks whoever has it next; all at once, 78 copies of 60 KB would fill a link of
-# 20 Mbit/s for two seconds, and callers' answers with it.
-MOST_SERVED = 8
+# Largest number of connections that are served at the same time. The whole fleet
+# requests a new configuration within a moment; a daemon that is not served requests it
+# from another peer that has it by then. If all were served at once, 78 copies of 60 KB
+# would fill a link of 20 Mbit/s for two seconds and hold up the answers to callers.
+MAX_SERVED = 8
 
 
 class FleetLink(asyncio.DatagramProtocol):
     """One UDP socket and one TCP listener on the same port.
 
-    ``receive`` gets each valid datagram's message and its sender's address; ``answer``
-    returns what a peer that asks is told, or None while there is nothing to tell.
+    ``receive`` is called with each valid datagram's message and its sender's address;
+    ``answer`` returns the snapshot that a peer requests, or None if there is none yet.
     """
 
     def __init__(
@@ -83,7 +86,11 @@
         addresses: Iterable[str],
         scope: Scope = Scope.NOBODY,
     ) -> None:
-        """Send a message to each address, without waiting."""
+        """Send a message to each address, without waiting.
+
+        A message that is too long for a datagram and can't be divided is logged and
+        not sent.
+        """
         if self._udp is None:
             return
         datagrams = self._datagrams(message, scope)
@@ -93,19 +100,19 @@
                 self._udp.sendto(data, (host, int(port)))
 
     def _datagrams(self, message: Message, scope: Scope) -> list[bytes]:
-        """Return a message's datagrams: several for relay news that one can't hold."""
+        """Return a message's datagrams: several for a batch too long for one."""
         data = encode_message(message, self._loop.time(), scope)
         if len(data) <= MAX_DATAGRAM_BYTES:
             return [data]
         halves = message.halves if isinstance(message, HeartbeatBatch) else ()
         if not halves:
-            # The peers' knowledge gets old by it, and each reads for itself.
+            # The peers' state gets old without the message, and each reads the store.
             kind = message.log_kind
             self._too_long.warning("peer_message_too_long", kind=kind, bytes=len(data))
         return [data for half in halves for data in self._datagrams(half, scope)]
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        """Called by asyncio."""
+        """Decode a datagram and hand its message on; called by asyncio."""
         try:
             envelope = decode_message(data, self._loop.time())
             self._receive(envelope, "{}:{}".format(*address))
@@ -113,7 +120,10 @@
             self._record_invalid(error)
 
     def error_received(self, error: Exception) -> None:
-        """Called by asyncio: a peer's port is closed, which its silence shows too."""
+        """Ignore a closed port of a peer, which is noticed by its silence too.
+
+        Called by asyncio.
+        """
 
     def _record_invalid(self, error: PeerMessageInvalid) -> None:
         self._invalid.warning("peer_message_invalid", error=error)
@@ -121,7 +131,7 @@
     async def fetch(
         self, address: str, request: SnapshotRequest
     ) -> EndpointSnapshot | OperatorSnapshot | None:
-        """Ask a peer for what it knows; None without an answer."""
+        """Request a snapshot from a peer; return None without a valid answer."""
         try:
             async with asyncio.timeout(FETCH_SECONDS):
                 return await self._fetch(address, request)
@@ -147,7 +157,7 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._served >= MOST_SERVED:
+        if self._served >= MAX_SERVED:
             writer.transport.abort()
             return
         self._served += 1
--- a/cranberrywick/gateway/operator_tracker.py
+++ b/cranberrywick/gateway/operator_tracker.py
@@ -1,4 +1,4 @@
-"""What operators have decided, as this daemon knows it."""
+"""The operators' configuration and domains out, as this daemon knows them."""
 
 from collections.abc import Callable
 
@@ -11,9 +11,9 @@
 
 
 class OperatorTracker:
-    """The newest operators' view; older ones change nothing.
+    """Keeps the newest operators' view; older views change nothing.
 
-    ``decode`` turns the operators' document into a configuration.
+    ``decode`` parses the operators' document into a configuration.
     """
 
     def __init__(self, decode: Callable[[bytes], GatewayConfiguration], log: EventLog):
@@ -21,34 +21,36 @@
         self._log = log
         self.view: OperatorView | None = None
         self.table: RouteTable | None = None
-        # The failure domains that get no new work, and since when at the earliest.
+        # The failure domains that get no new work, with the earliest moment at which
+        # each may have been taken out.
         self.out_since_by_domain: dict[str, float] = {}
         self._newest_at = float("-inf")
         self._unusable_digest: int | None = None
 
     @property
     def domains_out(self) -> frozenset[str]:
-        """The failure domains that get no new work."""
+        """The failure domains that are out of service and get no new work."""
         return self.view.domains_out if self.view else frozenset()
 
     @property
     def digest(self) -> int:
-        """What the view says, as a hash; 0 without one."""
+        """A hash of the view's content; 0 without a view."""
         return self.view.digest if self.view else 0
 
     @property
     def revision(self) -> int:
-        """The store's revision of the view; 0 without one."""
+        """The store's revision of the view; 0 without a view."""
         return self.view.revision if self.view else 0
 
     def age(self, now: float) -> float:
-        """Return how many seconds ago the view was known to be the newest."""
+        """Return the seconds since the view was known to be the newest."""
         return now - self._newest_at
 
     def compare(self, revision: int, digest: int, newest_at: float) -> bool:
-        """Compare with a peer's view; True if that is newer and should be fetched.
+        """Compare with a peer's view; return whether it is newer and should be fetched.
 
-        It was the newest at ``newest_at``: if it says the same, so was this one.
+        The peer's view was the newest at ``newest_at``. If both have the same digest,
+        so was this one, which is recorded.
         """
         if self.view is None or digest != self.digest:
             return revision > self.revision
@@ -57,9 +59,9 @@
         return False
 
     def apply(self, view: OperatorView, read_at: float, source: str) -> bool:
-        """Take a view that was the newest at ``read_at``; True if it changed anything.
+        """Apply a view that was the newest at ``read_at``; return whether it changed.
 
-        ``source`` is who told, for the log.
+        ``source`` names where the view comes from, for the log.
         """
         own = self.view
         if own is not None and view.revision < own.revision:
@@ -99,7 +101,7 @@
             return False
         version = self.table.configuration.version if self.table else 0
         if configuration.version < version:
-            # Versions only grow; an older one can only be news that came late.
+            # Versions only grow: a lower one belongs to a view that arrived late.
             return False
         self.table = RouteTable(configuration)
         self._log.info(
--- a/cranberrywick/gateway/peer_fetches.py
+++ b/cranberrywick/gateway/peer_fetches.py
@@ -1,4 +1,4 @@
-"""Fetches of documents from peers that have them."""
+"""Fetches of snapshots from the peers that have them."""
 
 import asyncio
 import random
@@ -11,16 +11,18 @@
 
 __all__ = ["PeerFetches"]
 
-# A peer serves few at a time. Each who was served can serve others, so that after a
-# change that all of a large fleet ask for, the next try mostly finds one that is free.
-MOST_TRIES = 4
-LONGEST_PAUSE_SECONDS = 0.06
+# Largest number of tries in a fetch, and the longest pause after a failed one, in
+# seconds. A peer serves few requests at a time, but each daemon that was served can
+# serve others: after a change that all of a large fleet request, the next try mostly
+# finds a peer that is free.
+MAX_TRIES = 4
+MAX_PAUSE_SECONDS = 0.06
 
 
 class PeerFetches:
-    """Makes one fetch of a kind at a time, from one peer after the other.
+    """Runs at most one fetch of each kind at a time, trying one peer after another.
 
-    >>> fetches.begin(OperatorSnapshotRequest(), informed_addresses, take_snapshot)
+    >>> fetches.begin(OperatorSnapshotRequest(), informed_addresses, apply_snapshot)
     """
 
     def __init__(self, link: Callable[[], FleetLink], log: EventLog):
@@ -34,32 +36,34 @@
         self,
         request: SnapshotRequest,
         addresses: Callable[[], Sequence[str]],
-        take: Callable[[Message, str, float], None],
+        apply_answer: Callable[[Message, str, float], None],
     ) -> None:
-        """Fetch in the background, unless such a fetch is under way.
+        """Start a fetch in the background, unless one of the same kind is under way.
 
-        ``addresses`` returns the peers that may be asked, anew for each try; ``take``
-        gets the answer, the address that it came from and when it was asked for, which
-        is the latest moment of which it certainly tells.
+        ``addresses`` is called for each try and returns the peers that may be asked;
+        if there are none, the fetch ends. ``apply_answer`` is called with the answer,
+        the address that it came from and the moment of the request, which is the latest
+        moment for which the answer is certain to hold. It may raise
+        `PeerMessageInvalid`, which leads to another try.
         """
         if type(request) in self._running:
             return
         self._running.add(type(request))
-        self._loop.create_task(self._run(request, addresses, take))
+        self._loop.create_task(self._run(request, addresses, apply_answer))
 
     async def _run(
         self,
         request: SnapshotRequest,
         addresses: Callable[[], Sequence[str]],
-        take: Callable[[Message, str, float], None],
+        apply_answer: Callable[[Message, str, float], None],
     ) -> None:
         try:
-            for number in range(1, MOST_TRIES + 1):
-                known = addresses()
-                if not known:
+            for number in range(1, MAX_TRIES + 1):
+                informed_addresses = addresses()
+                if not informed_addresses:
                     return
-                address = self._rng.choice(known)
-                asked_at = self._loop.time()
+                address = self._rng.choice(informed_addresses)
+                requested_at = self._loop.time()
                 snapshot = await self._link().fetch(address, request)
                 kind = request.log_kind
                 self._log.info(
@@ -69,24 +73,24 @@
                     number=number,
                     answered=snapshot is not None,
                 )
-                if snapshot is not None and self._take(
-                    take, snapshot, address, asked_at
+                if snapshot is not None and self._apply(
+                    apply_answer, snapshot, address, requested_at
                 ):
                     return
-                await asyncio.sleep(self._rng.uniform(0, LONGEST_PAUSE_SECONDS))
+                await asyncio.sleep(self._rng.uniform(0, MAX_PAUSE_SECONDS))
         finally:
             self._running.discard(type(request))
 
-    def _take(
+    def _apply(
         self,
-        take: Callable[[Message, str, float], None],
+        apply_answer: Callable[[Message, str, float], None],
         snapshot: Message,
         address: str,
-        asked_at: float,
+        requested_at: float,
     ) -> bool:
-        """Hand an answer over; False for one that can't be read."""
+        """Apply an answer; return False, and log why, for one that can't be read."""
         try:
-            take(snapshot, address, asked_at)
+            apply_answer(snapshot, address, requested_at)
         except PeerMessageInvalid as error:
             self._log.warning("peer_answer_invalid", peer=address, error=error)
             return False
--- a/tests/test_peer_fetches.py
+++ b/tests/test_peer_fetches.py
@@ -8,7 +8,7 @@
     EndpointSnapshotRequest,
     OperatorSnapshotRequest,
 )
-from cranberrywick.gateway.peer_fetches import MOST_TRIES, PeerFetches
+from cranberrywick.gateway.peer_fetches import MAX_TRIES, PeerFetches
 from cranberrywick.logs import EventLog
 
 FETCH_SECONDS = 0.02
@@ -101,7 +101,7 @@
             OperatorSnapshotRequest(), lambda: ["a"], lambda *answer: None
         )
         await asyncio.sleep(10.0)
-        assert len(link.asked) == MOST_TRIES
+        assert len(link.asked) == MAX_TRIES
 
     run_in_virtual_time(scene())
 
