--- a/cranberrywick/gateway/fleet.capnp
+++ b/cranberrywick/gateway/fleet.capnp
@@ -1,6 +1,6 @@
 @0xb7c1f4a2d95e6038;
-# What gateways tell one another. Ages and times to come are in milliseconds: clocks
-# of different VMs are never compared.
+# The messages between gateways. They hold ages and waits in milliseconds instead of
+# moments, since the clocks of different VMs are never compared.
 
 struct EndpointRecord {
   endpointId @0 :Text;
@@ -13,14 +13,16 @@
   born @7 :Int64;
 }
 
-# What has become of the records that the base stands for; all records, for base 0.
+# The changes since the state whose digest is the base. For base 0 the records are all
+# there are.
 struct EndpointChanges {
   base @0 :UInt64;
   records @1 :List(EndpointRecord);
   goneIds @2 :List(Text);
 }
 
-# The changes, an EndpointChanges message, are left out where there are none.
+# A snapshot of the endpoints. The changes are a compressed EndpointChanges message, or
+# empty if nothing has changed or the records are to be requested.
 struct EndpointReading {
   revision @0 :UInt64;
   ageMs @1 :UInt32;
@@ -35,9 +37,9 @@
   domainsOut @3 :List(Text);
 }
 
-# Asks the steward of an endpoint for a permit to send it one request. The limit is what
-# answers have named, as of so long ago; the rate also counts what is declared. Both are
-# in requests a second.
+# Requests a permit to send an endpoint one request from its steward. The limit is the
+# one that the endpoint's answers have named, limitAgeMs ago; the rate also takes the
+# declared limit into account. Both are in requests a second.
 struct PermitRequest {
   number @0 :UInt64;
   endpointId @1 :Text;
@@ -55,14 +57,15 @@
   freeMs @3 :UInt32;
 }
 
-# To whom the receiver passes a message on.
+# The daemons to which the receiver forwards a message: none, its failure domain, or
+# that and the other failure domains' relays.
 enum Scope {
   nobody @0;
   domain @1;
   fleet @2;
 }
 
-# Heartbeats are rows; see cranberrywick.gateway.heartbeat_rows.
+# The fields heartbeats and batch hold rows; see cranberrywick.gateway.heartbeat_rows.
 struct Message {
   scope @4 :Scope;
   union {
--- a/cranberrywick/gateway/heartbeat_rows.py
+++ b/cranberrywick/gateway/heartbeat_rows.py
@@ -1,11 +1,12 @@
-"""Heartbeats as they are sent: rows of plain values.
+"""Heartbeats on the wire: rows of plain values.
 
-Load pattern: a daemon of a fleet of two hundred hears of some hundred heartbeats and a
-thousand jobs a second, a relay writes as many. Read field by field from a Cap'n Proto
-structure they are most of what it computes, for each field is a call; rows are read in
-one call of a library.
+Load pattern: in a fleet of two hundred, a daemon receives some hundred heartbeats with
+a thousand jobs a second, and a relay writes as many. Read field by field from a Cap'n
+Proto structure, they would take most of the daemon's processor time, since each field
+is a call; msgspec decodes the rows in a single call.
 
-Ages and times to come take the place of moments: each side counts from its own clock.
+Ages and waits stand in place of moments, since the clocks of two daemons are not
+compared: each side adds them to its own clock.
 """
 
 from collections.abc import Sequence
@@ -27,27 +28,30 @@
     "unpack_heartbeats",
 ]
 
-# An age that never was counts as the longest.
-LONGEST_MS = 2**31 - 1
+# Largest duration on the wire, in milliseconds; it also stands for an infinite age.
+MAX_MS = 2**31 - 1
 
-_Milliseconds = Annotated[int, Meta(ge=0, le=LONGEST_MS)]
-_SignedMilliseconds = Annotated[int, Meta(ge=-LONGEST_MS, le=LONGEST_MS)]
+_Milliseconds = Annotated[int, Meta(ge=0, le=MAX_MS)]
+_SignedMilliseconds = Annotated[int, Meta(ge=-MAX_MS, le=MAX_MS)]
 _Count = Annotated[int, Meta(ge=0)]
 
 
 class RelayedHeartbeat(NamedTuple):
-    """A heartbeat, and when it was heard first."""
+    """A heartbeat, and when the first daemon received it."""
 
     received_at: float
     heartbeat: Heartbeat
 
 
 class HeartbeatBatch(NamedTuple):
-    """Heartbeats, and the relay that sends them on; both empty from their daemon."""
+    """Heartbeats, and the id and the failure domain of the relay that forwards them.
+
+    Id and domain are empty when a daemon sends its own heartbeat.
+    """
 
     @property
     def log_kind(self) -> str:
-        """Stays what log lines have always named."""
+        """The name of this kind of message in log lines."""
         return "RelayNews"
 
     relay_id: str
@@ -56,7 +60,7 @@
 
     @property
     def halves(self) -> tuple["HeartbeatBatch", ...]:
-        """Two that together say the same; none where there is nothing to divide."""
+        """Two batches with half of the heartbeats each; none for fewer than two."""
         middle = len(self.heartbeats) // 2
         if not middle:
             return ()
@@ -113,16 +117,19 @@
 
 
 def milliseconds(seconds: float) -> int:
-    """Return a duration for the wire; a negative one counts as none."""
-    return int(min(max(0.0, seconds) * 1000, LONGEST_MS))
+    """Return a duration in milliseconds, within 0 and `MAX_MS`."""
+    return int(min(max(0.0, seconds) * 1000, MAX_MS))
 
 
 def _signed_milliseconds(seconds: float) -> int:
-    return int(max(-LONGEST_MS, min(seconds * 1000, LONGEST_MS)))
+    return int(max(-MAX_MS, min(seconds * 1000, MAX_MS)))
 
 
 def pack_heartbeats(batch: HeartbeatBatch, now: float) -> bytes:
-    """Return the bytes of heartbeats; ``now`` is the clock of their moments."""
+    """Return the bytes of heartbeats.
+
+    ``now`` is the current time of the clock to which their moments refer.
+    """
     rows = tuple(_heartbeat_row(each, now) for each in batch.heartbeats)
     return _ENCODER.encode(_BatchRow(batch.relay_id, batch.relay_domain, rows))
 
@@ -130,10 +137,11 @@
 def unpack_heartbeats(data: bytes, now: float) -> HeartbeatBatch:
     """Return the heartbeats in these bytes.
 
-    Raises ValueError where they are not rows of these types and bounds.
+    ``now`` is the current time of the receiver's clock. Raises ValueError for bytes
+    that are not rows of the declared types and bounds.
     """
     relay_id, relay_domain, rows = _DECODER.decode(data)
-    heartbeats = tuple(_passed_on(row, now) for row in rows)
+    heartbeats = tuple(_relayed_heartbeat(row, now) for row in rows)
     return HeartbeatBatch(relay_id, relay_domain, heartbeats)
 
 
@@ -176,10 +184,10 @@
     )
 
 
-def _passed_on(row: _HeartbeatRow, now: float) -> RelayedHeartbeat:
-    age_ms, *facts, operator_age_ms, jobs, slow_engines, limits = row
+def _relayed_heartbeat(row: _HeartbeatRow, now: float) -> RelayedHeartbeat:
+    age_ms, *fields, operator_age_ms, jobs, slow_engines, limits = row
     heartbeat = Heartbeat(
-        *facts,
+        *fields,
         operator_age_ms / 1000,
         _jobs(jobs, now),
         slow_engines,
--- a/cranberrywick/gateway/messages.py
+++ b/cranberrywick/gateway/messages.py
@@ -1,6 +1,7 @@
 """Messages between gateways, as Cap'n Proto, compressed.
 
-Ages take the place of moments on the wire: each side counts from its own clock.
+On the wire, ages and waits stand in place of moments, since the clocks of two daemons
+are not compared: each side adds them to its own clock.
 """
 
 import zlib
@@ -40,11 +41,11 @@
 
 
 class OperatorSnapshot(NamedTuple):
-    """What operators have written, known to be the newest ``age`` seconds ago."""
+    """The operators' view, known to be the newest ``age`` seconds ago."""
 
     @property
     def log_kind(self) -> str:
-        """Stays what log lines have always named."""
+        """The name of this kind of message in log lines."""
         return "OperatorReading"
 
     view: OperatorView
@@ -52,33 +53,34 @@
 
 
 class OperatorSnapshotRequest(NamedTuple):
-    """Asks a peer for its `OperatorSnapshot`."""
+    """Requests a peer's `OperatorSnapshot`."""
 
     @property
     def log_kind(self) -> str:
-        """Stays what log lines have always named."""
+        """The name of this kind of message in log lines."""
         return "OperatorWanted"
 
 
 class EndpointSnapshotRequest(NamedTuple):
-    """Asks a peer for an `EndpointSnapshot` with all records."""
+    """Requests an `EndpointSnapshot` with all records from a peer."""
 
     @property
     def log_kind(self) -> str:
-        """Stays what log lines have always named."""
+        """The name of this kind of message in log lines."""
         return "EndpointsWanted"
 
 
 class PermitRequest(NamedTuple):
-    """Asks an endpoint's steward for a permit; see `FleetLimits.grant`.
+    """Requests a permit from an endpoint's steward; see `FleetLimits.grant`.
 
-    ``number`` tells the responses to one daemon apart. ``limit`` is what answers have
-    told the asking daemon, which may be newer than what the steward knows.
+    ``number`` identifies the request among those of one daemon. ``limit`` is the limit
+    that the endpoint's answers to the requesting daemon have named, which may be newer
+    than the limit that the steward knows.
     """
 
     @property
     def log_kind(self) -> str:
-        """Stays what log lines have always named."""
+        """The name of this kind of message in log lines."""
         return "PermitRequest"
 
     number: int
@@ -87,11 +89,11 @@
 
 
 class PermitResponse(NamedTuple):
-    """A steward's response to the request of this number."""
+    """A steward's response to the `PermitRequest` with the same number."""
 
     @property
     def log_kind(self) -> str:
-        """Stays what log lines have always named."""
+        """The name of this kind of message in log lines."""
         return "PermitResponse"
 
     number: int
@@ -99,7 +101,11 @@
 
 
 class Scope(StrEnum):
-    """To whom the receiver of a message passes it on."""
+    """The daemons to which the receiver of a message forwards it.
+
+    NOBODY: it is not forwarded. DOMAIN: to the receiver's failure domain. FLEET: to
+    that and to the other failure domains' relays.
+    """
 
     NOBODY = "nobody"
     DOMAIN = "domain"
@@ -119,14 +125,17 @@
 
 
 class Envelope(NamedTuple):
-    """A message as it was received."""
+    """A message as it was received, with its scope."""
 
     message: Message
     scope: Scope
 
 
 def encode_message(message: Message, now: float, scope: Scope = Scope.NOBODY) -> bytes:
-    """Return the bytes of a message; ``now`` is the clock of its moments."""
+    """Return the bytes of a message.
+
+    ``now`` is the current time of the clock to which its moments refer.
+    """
     if isinstance(message, Heartbeat):
         batch = HeartbeatBatch("", "", (RelayedHeartbeat(now, message),))
         body = {"heartbeats": pack_heartbeats(batch, now)}
@@ -148,7 +157,11 @@
 
 
 def decode_message(data: bytes, now: float) -> Envelope:
-    """Return a message; raises `PeerMessageInvalid`."""
+    """Return the message and scope in these bytes.
+
+    ``now`` is the current time of the receiver's clock. Raises `PeerMessageInvalid`
+    for bytes that are too long or malformed.
+    """
     if len(data) > MAX_MESSAGE_BYTES:
         raise PeerMessageInvalid("the message is too long")
     try:
@@ -162,7 +175,7 @@
     try:
         return Scope(str(message.scope))
     except RuntimeError as error:
-        # What the library raises for an enumerant that the schema does not have.
+        # pycapnp raises this for an enumerant that the schema does not have.
         raise ValueError("an unknown scope") from error
 
 
--- a/cranberrywick/gateway/schema.py
+++ b/cranberrywick/gateway/schema.py
@@ -1,4 +1,4 @@
-"""The Cap'n Proto schema of what gateways tell one another, and its bytes."""
+"""The Cap'n Proto schema of the messages between gateways, and their encoding."""
 
 import zlib
 from collections.abc import Iterator
@@ -10,12 +10,14 @@
 
 __all__ = ["MAX_MESSAGE_BYTES", "SCHEMA", "pack", "unpack"]
 
-# A configuration of at most 1 MiB, with room for the rest.
+# Largest message, compressed or not, in bytes: a configuration of at most 1 MiB, and room
+# for the rest. The limits in words of 8 bytes and in levels of nesting bound the work
+# of reading a malformed message.
 MAX_MESSAGE_BYTES = 1_500_000
 MAX_MESSAGE_WORDS = 400_000
 MAX_NESTING = 8
 # Most of a message repeats: addresses and names of one fleet, routes of one
-# configuration. The quickest level takes a third to a sixth of the bytes.
+# configuration. The fastest level reduces it to between a third and a sixth.
 COMPRESSION_LEVEL = 1
 
 
@@ -29,17 +31,18 @@
 
 def pack(message: Any) -> bytes:
     """Return the bytes of a message, compressed."""
-    # Not the library's own packing: bytes that end within it end the process.
+    # pycapnp's own packing is not used: reading packed bytes that are cut short ends
+    # the process.
     return zlib.compress(message.to_bytes(), COMPRESSION_LEVEL)
 
 
 @contextmanager
 def unpack(kind: Any, data: bytes) -> Iterator[Any]:
-    """Yield a message of a kind of the schema; it is not to be used afterwards.
+    """Yield the message of this kind in the bytes; it is valid inside the block only.
 
-    Raises ValueError, `zlib.error` or `capnp.KjException` where the bytes are none.
+    Raises ValueError, `zlib.error` or `capnp.KjException` for malformed bytes.
     """
-    # Bounded: a few bytes can be made to unpack to more than the memory there is.
+    # Bounded, since a few bytes can be crafted to decompress to more than the memory.
     unpacking = zlib.decompressobj()
     unpacked = unpacking.decompress(data, MAX_MESSAGE_BYTES)
     if not unpacking.eof:
