--- a/cranberrywick/gateway/__init__.py
+++ b/cranberrywick/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: the daemon that passes HTTP requests on to registered endpoints."""
+"""The gateway: the daemon that forwards HTTP requests to registered endpoints."""
--- a/cranberrywick/gateway/permitted_placements.py
+++ b/cranberrywick/gateway/permitted_placements.py
@@ -1,4 +1,4 @@
-"""Places for requests, at endpoints whose rate limits let them in."""
+"""Placement of requests at endpoints whose rate limits admit them."""
 
 import asyncio
 
@@ -15,13 +15,13 @@
 
 __all__ = ["PermittedPlacements"]
 
-# A request looks for a place again where an endpoint's steward refuses a permit. After
-# so many, most of its endpoints are at their limits.
-MOST_PERMITS_ASKED = 8
+# Largest number of permits that are requested for one request. After a refusal the
+# request is placed again; after this many, most of its endpoints are at their limits.
+MAX_PERMITS_REQUESTED = 8
 
 
 class PermittedPlacements:
-    """Finds a place for a request and, where the endpoint has a limit, a permit."""
+    """Places requests and requests permits for endpoints that have a rate limit."""
 
     def __init__(
         self,
@@ -39,11 +39,12 @@
         self._loop = asyncio.get_running_loop()
 
     async def take(self, exchange: Exchange) -> Placement:
-        """Return a place at an endpoint whose rate limit lets the request in now.
+        """Return a placement at an endpoint whose rate limit admits the request now.
 
-        Raises `Overloaded` like `WaitingRequests.place`.
+        Raises `Overloaded` after `MAX_PERMITS_REQUESTED` refused permits, and as
+        `WaitingRequests.place` does.
         """
-        for _ in range(MOST_PERMITS_ASKED):
+        for _ in range(MAX_PERMITS_REQUESTED):
             placement = await self._place(exchange)
             asked_at = self._loop.time()
             admission = await self._state.peer_updates.permits.admit(
--- a/cranberrywick/gateway/registration.py
+++ b/cranberrywick/gateway/registration.py
@@ -1,4 +1,4 @@
-"""This daemon among the registered ones: its own entry, and who else has one."""
+"""This daemon's registration in the store, and the list of registered daemons."""
 
 import asyncio
 import random
@@ -13,15 +13,16 @@
 
 __all__ = ["Registration"]
 
-# A daemon that died is off the members' list after this. Who reads the list meanwhile
-# writes to its address for nothing; who lives is told by heartbeats.
+# Time after which a dead daemon's lease ends and it leaves the list of members, in
+# seconds. Until then, daemons that read the list send heartbeats to its address in
+# vain; which daemons are alive is determined by heartbeats, not by the list.
 LEASE_SECONDS = 60.0
-# Two renewals may fail before the lease ends.
+# Interval between renewals, in seconds. Two in a row may fail before the lease ends.
 RENEW_SECONDS = 18.0
 
 
 class Registration:
-    """Keeps this daemon's entry in the store, and tells the news who is registered."""
+    """Keeps this daemon registered, and passes `PeerUpdates` the registered daemons."""
 
     def __init__(
         self,
@@ -41,15 +42,15 @@
         self._has_ended = False
 
     def start(self, ticker: Ticker) -> None:
-        """Register, and read who else has."""
+        """Register this daemon, and start to read the list of members."""
         self._register()
         for seconds in START_SECONDS:
-            self._loop.call_later(seconds, self._read_members_unless_heard)
+            self._loop.call_later(seconds, self._read_members_unless_all_heard)
         ticker.every(RENEW_SECONDS, self._register, jitter=0.1)
-        ticker.every(TURN_SECONDS, self._read_members_by_turns, jitter=0.2)
+        ticker.every(TURN_SECONDS, self._read_members_if_turn, jitter=0.2)
 
     def end(self) -> None:
-        """Give the entry up."""
+        """End this daemon's registration."""
         self._has_ended = True
         if self._lease is not None:
             self._calls.make("operator", partial(self._store.end, self._lease), _ignore)
@@ -59,13 +60,13 @@
             self._calls.make("operator", self._renew, self._registered)
 
     def _renew(self) -> int:
-        """Renew the lease or take a new one; on the reader's thread."""
+        """Renew the lease or register again; called on the reader's thread."""
         if self._lease is not None:
             try:
                 self._store.keep(self._lease)
                 return self._lease
             except LeaseLapsed:
-                pass  # As after an outage of the store: the key is gone with it.
+                pass  # As after an outage of the store; the registration is lost too.
         return self._store.register(
             self._daemon_id, self._peer_updates.peer_address, LEASE_SECONDS
         )
@@ -77,21 +78,21 @@
                 "registered", address=self._peer_updates.peer_address, lease=lease
             )
 
-    def _read_members_unless_heard(self) -> None:
+    def _read_members_unless_all_heard(self) -> None:
         if not self._peer_updates.has_received_all:
             self._read_members()
 
-    def _read_members_by_turns(self) -> None:
+    def _read_members_if_turn(self) -> None:
         if is_turn(self._peer_updates.members.count(self._loop.time()), self._rng):
             self._read_members()
 
     def _read_members(self) -> None:
-        self._calls.make("operator", self._store.read_members, self._take_members)
+        self._calls.make("operator", self._store.read_members, self._record_members)
 
-    def _take_members(self, addresses_by_id: dict[str, str], asked_at: float) -> None:
+    def _record_members(self, addresses_by_id: dict[str, str], asked_at: float) -> None:
         addresses_by_id.pop(self._daemon_id, None)
         self._peer_updates.set_registered_addresses(addresses_by_id)
 
 
 def _ignore(answer: object, asked_at: float) -> None:
-    """Take an answer that says no more than that the call succeeded."""
+    """Ignore the answer of a call that has no result."""
--- a/cranberrywick/gateway/store_calls.py
+++ b/cranberrywick/gateway/store_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the store that never hold the event loop up."""
+"""Calls to the store that never block the event loop."""
 
 import asyncio
 import random
@@ -18,10 +18,10 @@
 class StoreCalls:
     """Makes calls on actors, one at a time for each reader, and hands answers back.
 
-    Each reader has a `RefreshPolicy` of its own, which hears of every answer and
-    failure. ``members`` says how many daemons live.
+    Each reader has its own `RefreshPolicy`, in which every answer and failure is
+    recorded. ``members`` returns how many daemons are alive.
 
-    >>> calls.make("endpoints", store.read_endpoints, take_endpoints)
+    >>> calls.make("endpoints", store.read_endpoints, apply_endpoints)
     """
 
     READERS = ("endpoints", "operator")
@@ -45,7 +45,7 @@
 
     @property
     def store_is_away(self) -> bool:
-        """Whether the last call of some kind got no answer."""
+        """Whether the last call of some kind got no usable answer."""
         return bool(self._lost)
 
     def make(
@@ -56,18 +56,18 @@
     ) -> None:
         """Make a call unless the same one is under way.
 
-        ``done`` gets the answer and the moment of the question, on the event loop;
-        it is not called for a failure.
+        ``done`` is called on the event loop with the answer and the moment at which the
+        call was requested. It is not called after a failure.
         """
         if self.is_under_way(reader, call):
             return
         name = _name(reader, call)
         self._pending.add(name)
-        asked_at = self._loop.time()
+        requested_at = self._loop.time()
 
         def hand_over(answer: object) -> None:
             self._loop.call_soon_threadsafe(
-                self._answered, name, reader, answer, done, asked_at
+                self._answered, name, reader, answer, done, requested_at
             )
 
         self._actors[reader].tell(StoreReader.call, call, hand_over)
@@ -82,7 +82,7 @@
         reader: str,
         answer: object,
         done: Callable[[Any, float], None],
-        asked_at: float,
+        requested_at: float,
     ) -> None:
         self._pending.discard(name)
         now = self._loop.time()
@@ -91,10 +91,11 @@
             return
         if name in self._lost:
             self._lost.discard(name)
-            self._log.info("store_regained", call=name, seconds=now - asked_at)
+            self._log.info("store_regained", call=name, seconds=now - requested_at)
         self.policies[reader].succeeded()
-        # Counted from the question: the answer may have been made that early.
-        done(answer, asked_at)
+        # The answer counts as of the request, the earliest moment at which the store
+        # may have read it.
+        done(answer, requested_at)
 
     def _failed(
         self, name: str, reader: str, error: CranberrywickError, now: float
--- a/cranberrywick/gateway/store_reader.py
+++ b/cranberrywick/gateway/store_reader.py
@@ -1,4 +1,4 @@
-"""Blocking calls to the store, on a thread of their own."""
+"""Blocking calls to the store, made on an actor's thread."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -11,47 +11,47 @@
 
 
 class Store(Protocol):
-    """What the gateway needs of a store; every method blocks.
+    """The methods of a store that the gateway calls; every method blocks.
 
     Each raises `PlatformUnavailable` when there was no usable answer.
     """
 
     def read_endpoints(self) -> EndpointView:
-        """Read every registered endpoint."""
+        """Return all registered endpoints."""
 
     def read_operator(self) -> OperatorView:
-        """Read what operators have written."""
+        """Return the operators' view."""
 
     def read_members(self) -> dict[str, str]:
-        """Read the peer addresses of the daemons by id."""
+        """Return the registered daemons' peer addresses by their ids."""
 
     def register(self, daemon_id: str, peer_address: str, ttl_seconds: float) -> int:
-        """Register this daemon and return its lease."""
+        """Register a daemon for ``ttl_seconds`` and return the lease."""
 
     def keep(self, lease: int) -> None:
-        """Renew a lease."""
+        """Renew a lease. Raises `LeaseLapsed` if it has ended."""
 
     def end(self, lease: int) -> None:
         """End a lease."""
 
 
 class StoreReader(Controller):
-    """Makes one call at a time and hands the answer, or the failure, to ``done``.
-
-    ``done`` is called on the actor's thread.
-    """
+    """An actor that makes one call to the store at a time."""
 
     def call(
         self,
         make: Callable[[], object],
         done: Callable[[object | CranberrywickError], None],
     ) -> None:
-        """Make a call of the store."""
+        """Make a call and pass its answer, or the error, to ``done``.
+
+        ``done`` is called on the actor's thread.
+        """
         try:
             answer = make()
         except CranberrywickError as error:
             answer = error
         except (KeyError, TypeError, ValueError) as error:
-            # An answer in another form than the store's own.
+            # The store's answer has an unexpected form.
             answer = CranberrywickError(f"unusable answer: {error!s:.100}")
         done(answer)
--- a/cranberrywick/gateway/ticker.py
+++ b/cranberrywick/gateway/ticker.py
@@ -1,4 +1,4 @@
-"""Timers of the event loop that parts subscribe to."""
+"""Repeating timers on the event loop."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 
 class Ticker:
-    """Calls subscribers at their intervals until it is stopped.
+    """Calls callbacks repeatedly, at their intervals, until it is stopped.
 
     >>> ticker = Ticker(EventLog())
     >>> ticker.every(0.4, send_heartbeat, jitter=0.1)
@@ -22,38 +22,47 @@
         self._tasks: list[asyncio.Task] = []
 
     def every(
-        self, seconds: float, act: Callable[[], None], jitter: float = 0.0
+        self, seconds: float, callback: Callable[[], None], jitter: float = 0.0
     ) -> None:
-        """Call ``act`` at this interval, each time varied by the share ``jitter``."""
+        """Call ``callback`` at an interval in seconds.
+
+        Each interval is varied at random by up to the share ``jitter`` of it.
+        """
 
         def pause() -> float:
             return seconds * self._rng.uniform(1 - jitter, 1 + jitter)
 
-        self._start(act, pause)
+        self._start(callback, pause)
 
-    def when_due(self, act: Callable[[], None], pause: Callable[[], float]) -> None:
-        """Call ``act`` again and again, each time after ``pause()`` seconds.
+    def when_due(
+        self, callback: Callable[[], None], pause: Callable[[], float]
+    ) -> None:
+        """Call ``callback`` repeatedly, each time after ``pause()`` seconds.
 
-        A daemon that asks twenty times a second whether something is due does little
-        else while it has no requests.
+        This replaces polling: a daemon that checks twenty times a second whether
+        something is due does little else while it has no requests.
         """
-        self._start(act, pause)
+        self._start(callback, pause)
 
-    def _start(self, act: Callable[[], None], pause: Callable[[], float]) -> None:
+    def _start(self, callback: Callable[[], None], pause: Callable[[], float]) -> None:
         loop = asyncio.get_running_loop()
-        self._tasks.append(loop.create_task(self._run(act, pause)))
+        self._tasks.append(loop.create_task(self._run(callback, pause)))
 
     def stop(self) -> None:
-        """Call nobody any more."""
+        """Stop all timers."""
         for task in self._tasks:
             task.cancel()
 
-    async def _run(self, act: Callable[[], None], pause: Callable[[], float]) -> None:
+    async def _run(
+        self, callback: Callable[[], None], pause: Callable[[], float]
+    ) -> None:
         while True:
             await asyncio.sleep(pause())
             try:
-                act()
+                callback()
             except Exception as error:
-                # The next call may succeed; a timer that died would be missed only
-                # when what it renews has lapsed.
-                self._log.error("timer_failed", timer=act.__qualname__, error=error)
+                # The next call may succeed. If the timer ended here, that would be
+                # noticed only when what it renews has lapsed.
+                self._log.error(
+                    "timer_failed", timer=callback.__qualname__, error=error
+                )
