--- a/cranberrywick/gateway/schema.py
+++ b/cranberrywick/gateway/schema.py
@@ -10,9 +10,9 @@
 
 __all__ = ["MAX_MESSAGE_BYTES", "SCHEMA", "pack", "unpack"]
 
-# Largest message, compressed or not, in bytes: a configuration of at most 1 MiB, and room
-# for the rest. The limits in words of 8 bytes and in levels of nesting bound the work
-# of reading a malformed message.
+# Largest message, compressed or not, in bytes: a configuration of at most 1 MiB, and
+# room for the rest. The limits in words of 8 bytes and in levels of nesting bound the
+# work of reading a malformed message.
 MAX_MESSAGE_BYTES = 1_500_000
 MAX_MESSAGE_WORDS = 400_000
 MAX_NESTING = 8
