--- a/tests/test_peer_updates.py
+++ b/tests/test_peer_updates.py
@@ -1,4 +1,4 @@
-"""What daemons of a large fleet hear of one another, on a network without sockets."""
+"""Updates between the daemons of a large fleet, on a simulated network."""
 
 import asyncio
 
@@ -38,8 +38,8 @@
     return network, daemons
 
 
-def play(size, scene):
-    """Start a fleet, let it settle and play a scene with it."""
+def run_scene(size, scene):
+    """Start a fleet, let it run for four seconds and run a scene with it."""
 
     async def main():
         tickers = []
@@ -53,10 +53,10 @@
 
 
 @pytest.mark.parametrize("size", [9, 40, 80])
-def test_everyone_hears_of_a_job_before_the_next_requests_come(size):
-    """A daemon sends a long prompt to an engine; no other sends its own there.
+def test_a_new_job_is_known_everywhere_within_150_ms(size):
+    """Guards against daemons that send more requests to an engine just occupied.
 
-    Through two relays the news takes two collecting intervals and some hops.
+    Through two relays the update takes two flush intervals and a few hops.
     """
 
     async def scene(network, daemons):
@@ -65,11 +65,14 @@
         others = [d for d in daemons if d is not daemons[5]]
         assert all(daemon.knows_job_of(daemons[5]) for daemon in others)
 
-    play(size, scene)
+    run_scene(size, scene)
 
 
-def test_a_large_fleet_tells_itself_little():
-    """80 daemons at rest: without relays 78 datagrams a second for each daemon."""
+def test_a_large_idle_fleet_sends_few_datagrams():
+    """Guards against traffic that grows with the square of the fleet's size.
+
+    Without relays each of 80 idle daemons receives 78 datagrams a second.
+    """
 
     async def scene(network, daemons):
         network.received_datagrams.clear()
@@ -78,14 +81,15 @@
         assert network.received_datagrams.total() / 10 / len(daemons) < 25
         assert network.received_bytes.total() / 10 / len(daemons) < 21_000
 
-    play(80, scene)
+    run_scene(80, scene)
 
 
-def test_a_relay_that_dies_is_passed_over():
-    """News of jobs arrive again two seconds after the relay of a domain was killed.
+def test_a_dead_relay_is_replaced():
+    """Guards against updates that stay lost after the relay of a domain was killed.
 
-    It hears nothing and says nothing from one moment on. Its domain passes it over
-    after a second without its keepalives; nobody else is taken for dead meanwhile.
+    The relay neither receives nor sends from one moment on. Its domain chooses another
+    relay after a second without keepalives, and updates of jobs arrive again within two
+    seconds. No other daemon counts as dead meanwhile.
     """
 
     async def scene(network, daemons):
@@ -103,13 +107,13 @@
             alive = {beat.daemon_id for beat in daemon.peer_updates.members.alive(now)}
             assert alive == {d.name for d in daemons} - {relay.name, daemon.name}
 
-    play(40, scene)
+    run_scene(40, scene)
 
 
 @pytest.mark.parametrize("size", [9, 40])
 @pytest.mark.parametrize("parts", [2, 3])
 def test_parts_of_a_fleet_that_lose_each_other_keep_the_retry_budget(size, parts):
-    """Guards against a fixed allowance that each side of a cut spends in full."""
+    """Guards against a fixed budget that each side of a partition spends in full."""
 
     async def scene(network, daemons):
         def part(address):
@@ -125,11 +129,11 @@
                 taken += 1
         assert taken <= 100
 
-    play(size, scene)
+    run_scene(size, scene)
 
 
-def test_a_relay_that_comes_back_is_heard_again():
-    """A relay is cut off for three seconds, and its domain's news arrive afterwards."""
+def test_a_relay_that_was_cut_off_works_again():
+    """A relay is cut off for three seconds; its domain's updates arrive afterwards."""
 
     async def scene(network, daemons):
         relay, sender = daemons[0], daemons[3]
@@ -140,15 +144,15 @@
         sender.take_job()
         relay.take_job()
         await asyncio.sleep(0.2)
-        for told in (relay, sender):
-            others = [d for d in daemons if d is not told]
-            assert all(daemon.knows_job_of(told) for daemon in others)
+        for owner in (relay, sender):
+            others = [d for d in daemons if d is not owner]
+            assert all(daemon.knows_job_of(owner) for daemon in others)
 
-    play(40, scene)
+    run_scene(40, scene)
 
 
-def test_a_lossy_network_takes_nobody_for_dead():
-    """One datagram in thirty is lost; every daemon is still named to callers."""
+def test_no_daemon_counts_as_dead_on_a_lossy_network():
+    """One datagram in thirty is lost; every daemon still counts as serving."""
 
     async def scene(network, daemons):
         network.loss = 1 / 30
@@ -158,11 +162,11 @@
             for daemon in daemons:
                 assert len(daemon.peer_updates.members.serving(now)) == len(daemons) - 1
 
-    play(40, scene)
+    run_scene(40, scene)
 
 
-def test_all_hear_at_once_that_a_relay_leaves():
-    """Callers are not sent to a daemon that stops, though it is a relay itself."""
+def test_a_leaving_relay_is_known_everywhere_at_once():
+    """Guards against callers that are sent to a stopping daemon that is a relay."""
 
     async def scene(network, daemons):
         daemons[0].leaving = True
@@ -175,10 +179,10 @@
             }
             assert daemons[0].name not in serving
 
-    play(40, scene)
+    run_scene(40, scene)
 
 
-def test_a_reading_of_the_endpoints_reaches_every_daemon_once():
+def test_a_snapshot_of_the_endpoints_reaches_every_daemon_once():
     async def scene(network, daemons):
         view = EndpointView(1, {})
         daemons[7].peer_updates.broadcast(
@@ -187,7 +191,7 @@
         await asyncio.sleep(0.1)
         assert all(len(d.snapshots) == 1 for d in daemons if d is not daemons[7])
 
-    play(40, scene)
+    run_scene(40, scene)
 
 
 def test_a_newcomer_is_known_to_all_and_knows_all():
@@ -208,14 +212,14 @@
             alive = {beat.daemon_id for beat in daemon.peer_updates.members.alive(now)}
             assert "d999" in alive
 
-    play(40, scene)
+    run_scene(40, scene)
 
 
 def test_a_newcomer_that_the_store_does_not_answer_is_told_what_it_needs():
-    """Callers are served by a daemon that restarts while the store is away.
+    """Guards against a daemon that can't serve if it restarts without the store.
 
-    Its settings name three daemons, none of them a relay. They tell it the endpoints
-    and make it known to all, and it hears of all in turn.
+    Its settings name three daemons, none of them a relay. They send it the endpoints
+    and forward its heartbeat to the whole fleet, whose heartbeats it then receives.
     """
 
     async def scene(network, daemons):
@@ -232,11 +236,11 @@
         assert len(newcomer.peer_updates.members.alive(now)) == len(daemons)
         assert all("d999" in d.peer_updates.members.members_by_id for d in daemons)
 
-    play(40, scene)
+    run_scene(40, scene)
 
 
 class TestRelays:
-    def test_a_silent_relay_is_passed_over_until_it_is_heard(self):
+    def test_a_silent_relay_is_replaced_until_it_is_heard_from(self):
         relays = Relays("d5", "a")
         members = ["d1", "d2", "d5"]
         assert relays.choose("a", members, 0.0) == "d1"
@@ -246,28 +250,28 @@
         relays.receive("d1", "a", 2.4)
         assert relays.choose("a", members, 2.5) == "d1"
 
-    def test_a_daemon_that_hears_no_relay_becomes_one(self):
+    def test_a_daemon_that_receives_from_no_relay_becomes_one(self):
         relays = Relays("d2", "a")
         assert relays.choose("a", ["d1", "d2", "d3"], 0.0) == "d1"
         assert relays.choose("a", ["d1", "d2", "d3"], 1.1) == "d2"
 
-    def test_a_domain_whose_relays_are_all_silent_is_tried_again(self):
+    def test_a_relay_is_chosen_even_if_all_are_silent(self):
         relays = Relays("d9", "a")
         for now in (0.0, 1.1, 2.2, 3.3):
             assert relays.choose("b", ["d1", "d2"], now) is not None
 
-    def test_a_pause_of_its_own_is_held_against_no_relay(self):
+    def test_a_pause_of_this_daemon_makes_no_relay_silent(self):
         relays = Relays("d5", "a")
         relays.choose("a", ["d1", "d5"], 0.0)
         relays.discount_pause(5.0)
         assert relays.choose("a", ["d1", "d5"], 5.5) == "d1"
 
-    def test_small_fleets_have_none(self):
+    def test_only_large_fleets_need_relays(self):
         assert not needs_relays(9)
         assert needs_relays(79)
 
 
-def test_a_configuration_travels_compressed_and_whole():
+def test_a_configuration_is_sent_compressed_and_complete():
     document = b'{"routes": [' + b'{"name": "r", "host": "h"},' * 4000 + b"]}"
     view = OperatorView.of(7, document, frozenset({"fd-a"}))
     data = encode_message(OperatorSnapshot(view, 0.5), 0.0)
