--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -1,4 +1,4 @@
-"""What daemons send one another: sizes, bounds and what can't be read."""
+"""Messages between daemons: sizes, bounds and malformed bytes."""
 
 import asyncio
 import random
@@ -84,7 +84,7 @@
 
 
 class Recorder:
-    """Stands in for a socket, or for a log."""
+    """Stands in for a socket and for a log."""
 
     def __init__(self):
         self.sent = []
@@ -101,7 +101,7 @@
 
 
 def sent(messages):
-    """Return what a link sends to one address, and what it logs."""
+    """Return a recorder of what a link sends to one address and of what it logs."""
 
     async def main():
         recorder = Recorder()
@@ -114,26 +114,26 @@
     return asyncio.run(main())
 
 
-def test_heartbeats_arrive_as_they_were_told():
-    """Moments are moved to the receiver's clock, all else is the same."""
+def test_heartbeats_arrive_as_they_were_sent():
+    """Moments are converted to the receiver's clock; all else is unchanged."""
     batch = HeartbeatBatch("front-001", "fd-a", (RelayedHeartbeat(9.5, heartbeat()),))
     data = encode_message(batch, 10.0, Scope.DOMAIN)
     message, scope = decode_message(data, 110.0)
     assert scope is Scope.DOMAIN
     assert message.relay_id == "front-001"
-    (heard,) = message.heartbeats
-    assert heard.received_at == pytest.approx(109.5)
-    told = heartbeat()
-    assert heard.heartbeat[:-3] == told[:-3]
-    assert heard.heartbeat.slow_engines == told.slow_engines
+    (received,) = message.heartbeats
+    assert received.received_at == pytest.approx(109.5)
+    expected = heartbeat()
+    assert received.heartbeat[:-3] == expected[:-3]
+    assert received.heartbeat.slow_engines == expected.slow_engines
     limits = [
         LimitReport(i, rate, seen_at + 100, free_at and free_at + 100)
-        for i, rate, seen_at, free_at in told.limits
+        for i, rate, seen_at, free_at in expected.limits
     ]
-    for there, here in zip(heard.heartbeat.limits, limits, strict=True):
+    for there, here in zip(received.heartbeat.limits, limits, strict=True):
         assert there[:2] == here[:2]
         assert there[2:] == pytest.approx(here[2:])
-    for there, here in zip(heard.heartbeat.jobs, told.jobs, strict=True):
+    for there, here in zip(received.heartbeat.jobs, expected.jobs, strict=True):
         assert there.started_at == pytest.approx(here.started_at + 100)
         assert there.due_at == pytest.approx(here.due_at + 100)
         assert there.first_event_at == pytest.approx(here.first_event_at + 100)
@@ -146,11 +146,11 @@
         assert there == same
 
 
-def test_news_that_no_datagram_holds_is_divided():
-    """Callers are spread over engines by news of all daemons, however many tell.
+def test_a_batch_too_long_for_a_datagram_is_divided():
+    """Guards against heartbeats that are lost because a batch is too long.
 
-    A relay collects 400 heartbeats with thirty jobs each within one interval. They
-    leave in several datagrams, and every one of them arrives.
+    A relay collects 400 heartbeats with thirty jobs each within one interval. It sends
+    them in several datagrams, which together hold every heartbeat.
     """
     beats = tuple(
         RelayedHeartbeat(0.0, heartbeat(number, jobs=30)) for number in range(400)
@@ -158,25 +158,26 @@
     recorder = sent([HeartbeatBatch("front-000", "fd-a", beats)])
     assert len(recorder.sent) > 1
     assert all(len(data) <= MAX_DATAGRAM_BYTES for data in recorder.sent)
-    heard = [
+    received = [
         each.heartbeat.daemon_id
         for data in recorder.sent
         for each in decode_message(data, 0.0).message.heartbeats
     ]
-    assert sorted(heard) == sorted(each.heartbeat.daemon_id for each in beats)
+    assert sorted(received) == sorted(each.heartbeat.daemon_id for each in beats)
 
 
-def test_a_reading_of_620_endpoints_is_one_datagram():
+def test_a_snapshot_of_620_endpoints_is_one_datagram():
     view = view_of(620)
     recorder = sent([EndpointSnapshot.whole(view, view.digest, 0.0)])
     (data,) = recorder.sent
     assert decode_message(data, 0.0).message.applied_to(None, 0).view == view
 
 
-def test_what_no_datagram_holds_is_logged():
-    """An operator sees why the endpoints that daemons know of get old.
+def test_a_message_too_long_for_a_datagram_is_logged():
+    """Guards against an update that is dropped without a trace.
 
-    Each of them reads the store for itself then, which serves callers on.
+    The log line shows an operator why the peers' snapshots of the endpoints get old.
+    Each daemon then reads the store itself, and callers are still served.
     """
     view = view_of(6000)
     snapshot = EndpointSnapshot.whole(view, view.digest, 0.0)
@@ -187,7 +188,7 @@
     assert fields["kind"] == "EndpointReading"
 
 
-def test_records_that_are_not_those_of_their_digest_are_refused():
+def test_records_that_do_not_match_their_digest_are_refused():
     view = view_of(3)
     snapshot = EndpointSnapshot.whole(view, view.digest + 1, 0.0)
     message = decode_message(encode_message(snapshot, 0.0), 0.0).message
@@ -207,11 +208,11 @@
 ]
 
 
-def test_permits_are_asked_for_and_given_as_told():
-    """Moments are moved to the steward's clock, all else is the same."""
-    asked = PermitRequest(3, TERMS, LimitReport("i-1", 2.0, 9.0))
-    heard = decode_message(encode_message(asked, 10.0), 110.0).message
-    assert heard == asked._replace(limit=LimitReport("i-1", 2.0, 109.0))
+def test_permit_requests_and_responses_arrive_as_they_were_sent():
+    """Moments are converted to the steward's clock; all else is unchanged."""
+    request = PermitRequest(3, TERMS, LimitReport("i-1", 2.0, 9.0))
+    received = decode_message(encode_message(request, 10.0), 110.0).message
+    assert received == request._replace(limit=LimitReport("i-1", 2.0, 109.0))
     response = PermitResponse(3, Permit(True, 0.25, 1.5))
     assert decode_message(encode_message(response, 10.0), 110.0).message == response
 
@@ -228,12 +229,12 @@
         (1.0, 1.0, nan),
     ],
 )
-def test_a_permit_request_with_absurd_figures_is_refused(limit, rate, share):
-    """Guards against a rate limit that one malformed datagram sets for a fleet."""
+def test_a_permit_request_with_values_out_of_range_is_refused(limit, rate, share):
+    """Guards against one malformed datagram that changes a limit in the whole fleet."""
     terms = PermitTerms(rate, share, 0.5)
-    asked = PermitRequest(3, terms, LimitReport("i-1", limit, 9.0))
+    request = PermitRequest(3, terms, LimitReport("i-1", limit, 9.0))
     with pytest.raises(PeerMessageInvalid):
-        decode_message(encode_message(asked, 10.0), 10.0)
+        decode_message(encode_message(request, 10.0), 10.0)
 
 
 @given(st.binary(max_size=300))
@@ -242,8 +243,8 @@
         decode_message(data, 0.0)
 
 
-def test_a_scope_that_is_not_known_is_refused():
-    """Guards against an error outside of the checks for what a peer's bytes hold."""
+def test_an_unknown_scope_is_refused():
+    """Guards against an exception that the receiver does not handle."""
     message = SCHEMA.Message.new_message(scope=7, endpointsWanted=None)
     changed = pack(message)
     with pytest.raises(PeerMessageInvalid):
@@ -259,17 +260,20 @@
     ],
 )
 def test_packed_bytes_that_end_too_early_are_refused(packed):
-    """Guards against a datagram that ends the process of whoever hears it."""
+    """Guards against a datagram that ends the receiver's process.
+
+    The bytes are in pycapnp's packed form and end within it.
+    """
     with pytest.raises(PeerMessageInvalid):
         decode_message(zlib.compress(bytes.fromhex(packed)), 0.0)
 
 
 @given(st.sampled_from(VALID), st.data())
 @settings(max_examples=1000)
-def test_a_changed_message_is_refused_or_read(message, data):
-    """Whatever a datagram holds, the daemon that hears it serves on.
+def test_a_corrupted_message_is_refused_or_decoded(message, data):
+    """Guards against a datagram that stops its receiver, whatever it holds.
 
-    The bytes are changed under the compression, whose checksum would give them away.
+    The bytes are changed before compression, whose checksum would reveal the change.
     """
     changed = bytearray(zlib.decompress(message))
     for _ in range(data.draw(st.integers(1, 4))):
@@ -284,7 +288,7 @@
 
 
 def rows_with(**changes):
-    """Return heartbeat rows with other values than their types allow."""
+    """Return packed heartbeat rows in which values are replaced by invalid ones."""
     batch = HeartbeatBatch("a", "b", (RelayedHeartbeat(9.0, heartbeat()),))
     relay, domain, (row,) = decode(pack_heartbeats(batch, 10.0))
     for index, value in changes.values():
--- a/tests/test_peer_fetches.py
+++ b/tests/test_peer_fetches.py
@@ -1,4 +1,4 @@
-"""Documents are fetched from peers that have them, however many daemons ask at once."""
+"""Fetches of snapshots from peers, also while many daemons fetch at once."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
 
 
 class Link:
-    """Answers for each peer what ``answers`` says; counts who was asked."""
+    """Answers with what ``answers`` holds for each peer; records the requests."""
 
     def __init__(self, answers):
         self.answers = answers
-        self.asked = []
+        self.requests = []
 
     async def fetch(self, address, request):
-        self.asked.append((address, type(request)))
+        self.requests.append((address, type(request)))
         await asyncio.sleep(FETCH_SECONDS)
         return self.answers.get(address)
 
@@ -32,9 +32,9 @@
     return PeerFetches(lambda: link, EventLog())
 
 
-def test_a_busy_peer_is_no_reason_to_wait():
-    """Guards against daemons that miss a change until the next one is told."""
-    taken = []
+def test_a_busy_peer_is_followed_by_another_try():
+    """Guards against daemons that miss a change until the next one is announced."""
+    applied = []
 
     async def scene():
         link = Link({"free": "reading"})
@@ -42,16 +42,16 @@
         fetches_of(link).begin(
             OperatorSnapshotRequest(),
             lambda: next(peers),
-            lambda *answer: taken.append(answer),
+            lambda *answer: applied.append(answer),
         )
         await asyncio.sleep(1.0)
 
     run_in_virtual_time(scene())
-    assert [answer[:2] for answer in taken] == [("reading", "free")]
+    assert [answer[:2] for answer in applied] == [("reading", "free")]
 
 
-def test_one_fetch_of_a_kind_is_under_way():
-    """Guards against a fetch for each heartbeat that tells of the same change."""
+def test_at_most_one_fetch_of_a_kind_is_under_way():
+    """Guards against a fetch for each heartbeat that announces the same change."""
 
     async def scene():
         link = Link({"a": "reading"})
@@ -63,26 +63,26 @@
         ):
             fetches.begin(request, lambda: ["a"], lambda *answer: None)
         await asyncio.sleep(FETCH_SECONDS / 2)
-        assert link.asked == [
+        assert link.requests == [
             ("a", OperatorSnapshotRequest),
             ("a", EndpointSnapshotRequest),
         ]
         await asyncio.sleep(1.0)
         fetches.begin(OperatorSnapshotRequest(), lambda: ["a"], lambda *answer: None)
         await asyncio.sleep(1.0)
-        assert len(link.asked) == 3
+        assert len(link.requests) == 3
 
     run_in_virtual_time(scene())
 
 
-def test_an_answer_that_cannot_be_read_is_asked_of_another():
-    """Guards against daemons that stay behind for one peer's broken answer."""
-    taken = []
+def test_an_invalid_answer_is_followed_by_another_try():
+    """Guards against daemons that lag behind because of one peer's invalid answer."""
+    applied = []
 
-    def take(snapshot, address, asked_at):
+    def take(snapshot, address, requested_at):
         if snapshot == "broken":
             raise PeerMessageInvalid("malformed records")
-        taken.append(address)
+        applied.append(address)
 
     async def scene():
         link = Link({"a": "broken", "b": "reading"})
@@ -91,17 +91,17 @@
         await asyncio.sleep(1.0)
 
     run_in_virtual_time(scene())
-    assert taken == ["b"]
+    assert applied == ["b"]
 
 
-def test_it_is_given_up_after_a_few_tries():
+def test_a_fetch_ends_after_the_largest_number_of_tries():
     async def scene():
         link = Link({})
         fetches_of(link).begin(
             OperatorSnapshotRequest(), lambda: ["a"], lambda *answer: None
         )
         await asyncio.sleep(10.0)
-        assert len(link.asked) == MAX_TRIES
+        assert len(link.requests) == MAX_TRIES
 
     run_in_virtual_time(scene())
 
@@ -109,7 +109,7 @@
 def test_three_hundred_daemons_have_a_change_within_a_second():
     """Guards against a configuration that reaches the last of a large fleet too late.
 
-    One daemon has it, each serves eight at a time, and who was served serves others.
+    One daemon has it at first. Each daemon that has it serves eight others at a time.
     """
     daemons = [f"d{number}" for number in range(300)]
     informed = {"d0": 0.0}
@@ -130,7 +130,7 @@
         started = loop.time()
 
         def receive(name, fetches):
-            """Ask whenever heartbeats tell of a change, as they do each 50 ms."""
+            """Fetch on each heartbeat that announces the change, every 50 ms."""
             if name in informed:
                 return
             fetches.begin(
--- a/tests/test_ticker.py
+++ b/tests/test_ticker.py
@@ -1,4 +1,4 @@
-"""Timers of the event loop."""
+"""Repeating timers on the event loop."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def calls_within(seconds, subscribe):
-    """Return the moments of a subscriber's calls."""
+    """Return the moments at which the callback was called."""
     moments = []
 
     async def main():
@@ -22,18 +22,18 @@
     return moments
 
 
-def test_a_subscriber_is_called_when_it_is_due():
+def test_a_callback_is_called_when_it_is_due():
     pauses = iter([0.3, 0.05, 1.0, 9.0])
     moments = calls_within(
-        3.0, lambda ticker, act: ticker.when_due(act, lambda: next(pauses))
+        3.0, lambda ticker, callback: ticker.when_due(callback, lambda: next(pauses))
     )
     assert moments == [0.3, 0.35, 1.35]
 
 
-def test_a_subscriber_that_fails_is_called_again():
-    """What a timer renews lapses some time later if the timer dies of one failure."""
+def test_a_failing_callback_is_called_again():
+    """Guards against a lapse of what a timer renews, after one failed call."""
     moments = calls_within(
         1.0,
-        lambda ticker, act: ticker.every(0.3, lambda: (act(), 1 / 0)),
+        lambda ticker, callback: ticker.every(0.3, lambda: (callback(), 1 / 0)),
     )
     assert moments == [0.3, 0.6, 0.9]
