--- a/tests/test_endpoint_limits_fleet.py
+++ b/tests/test_endpoint_limits_fleet.py
@@ -1,4 +1,4 @@
-"""Rate limits that endpoints name, before real gateways."""
+"""Rate limits that endpoints name in their answers, with gateway processes."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -8,30 +8,33 @@
 import urllib3
 from gateway_fleet import Answer, configuration, running_gateways, wait_for
 
-# Requests a second that each endpoint takes from all daemons together.
+# Requests a second that each endpoint accepts from all daemons together.
 RATE = 1.0
-# The span over which requests to an endpoint are summed up.
+# The span over which requests to an endpoint are counted, in seconds.
 WINDOW_SECONDS = 4.0
 LOADED_SECONDS = 9.0
-# After so long every daemon has had an answer that names the limit.
-TOLD_SECONDS = 1.0
+# Time after which every daemon has received an answer that names the limit, in seconds.
+KNOWN_SECONDS = 1.0
 CALL_PAUSE_SECONDS = 0.4
-# Long enough for two requests at the rate of the limit to show that it has ended.
-NOTICED_SECONDS = 2.5
+# Time after which the end of the limit is known, in seconds: enough for two requests at
+# the limited rate.
+END_KNOWN_SECONDS = 2.5
 AFTERWARDS_SECONDS = 4.0
-# Requests a second that a cold endpoint takes, and how callers press it.
+# Requests a second that a cold endpoint accepts, and the callers' load on it.
 COLD_RATE = 2.0
 COLD_SECONDS = 4.0
 COLD_PAUSE_SECONDS = 0.02
 COLD_CALLERS_EACH = 3
-# A new configuration and changed records are known everywhere by then.
+# Time after which a new configuration and changed records are known everywhere, in
+# seconds.
 APPLIED_SECONDS = 2.5
-# A caller that can't be served has most of its five seconds left when it hears so.
+# Longest time until a refusal, in seconds. A caller that can't be served has most of
+# its five seconds left then.
 LONGEST_REFUSAL_SECONDS = 0.5
 
 
-def test_logs_and_metrics_show_who_was_told_a_limit(tmp_path):
-    """On-call engineers see which daemon knew a limit, and since which answer."""
+def test_logs_and_metrics_show_which_daemon_knows_a_limit(tmp_path):
+    """On-call engineers see which daemon knows a limit, and from which answer."""
     with running_gateways(tmp_path) as fleet:
         (gateway,) = fleet.gateways
         for endpoint in fleet.endpoints.values():
@@ -45,8 +48,11 @@
         assert 'cranberrywick_limited_answers_total{class="reads"} 1.0' in metrics
 
 
-def test_daemons_together_spare_a_cold_endpoint(tmp_path):
-    """Guards against short calls that no daemon sees for long, at a cold endpoint."""
+def test_daemons_together_keep_the_declared_limit_of_a_cold_endpoint(tmp_path):
+    """Guards against too many short calls from several daemons to a cold endpoint.
+
+    The calls end so soon that no daemon counts many of the others' calls.
+    """
     with running_gateways(tmp_path, gateways=6) as fleet:
         services = configuration()["services"]
         services[0]["coldPerS"] = COLD_RATE
@@ -60,7 +66,9 @@
         gateways = fleet.gateways * COLD_CALLERS_EACH
         with ThreadPoolExecutor(len(gateways)) as callers:
             calls = [
-                callers.submit(press, fleet, gateway, until, COLD_PAUSE_SECONDS)
+                callers.submit(
+                    call_repeatedly, fleet, gateway, until, COLD_PAUSE_SECONDS
+                )
                 for gateway in gateways
             ]
             statuses = {
@@ -76,7 +84,7 @@
 
 
 class Timed(NamedTuple):
-    """An answer, when it was asked for and how long it took, in seconds."""
+    """An answer, the time of the request and the seconds until the answer."""
 
     answer: Answer
     asked_at: float
@@ -84,17 +92,20 @@
 
 
 class Load(NamedTuple):
-    """What callers and endpoints saw while every endpoint of a service had a limit."""
+    """The answers and arrivals while every endpoint of a service had a limit.
+
+    The limit was known from ``known_at`` on and ended at ``ended_at``.
+    """
 
     arrived_at_by_id: dict[str, list[float]]
-    told_at: float
+    known_at: float
     ended_at: float
     answers: list[Timed]
 
 
 @pytest.fixture(scope="module")
 def load(tmp_path_factory):
-    """Six daemons, callers for fifteen requests a second, endpoints that take two."""
+    """Six daemons, fifteen requests a second, and endpoints that accept two."""
     with running_gateways(tmp_path_factory.mktemp("limits"), gateways=6) as fleet:
         desks = [fleet.endpoints["desk-1"], fleet.endpoints["desk-2"]]
         for desk in desks:
@@ -102,21 +113,25 @@
         started = fleet.on_loop(fleet.loop.time)
         until = started + LOADED_SECONDS
         with ThreadPoolExecutor(len(fleet.gateways)) as callers:
-            calls = [callers.submit(press, fleet, g, until) for g in fleet.gateways]
+            calls = [
+                callers.submit(call_repeatedly, fleet, g, until) for g in fleet.gateways
+            ]
             answers = [timed for call in calls for timed in call.result()]
         for desk in desks:
             desk.rate_limit = None
         ended = fleet.on_loop(fleet.loop.time)
         with ThreadPoolExecutor(len(fleet.gateways)) as callers:
             until = ended + AFTERWARDS_SECONDS
-            calls = [callers.submit(press, fleet, g, until) for g in fleet.gateways]
+            calls = [
+                callers.submit(call_repeatedly, fleet, g, until) for g in fleet.gateways
+            ]
             answers += [timed for call in calls for timed in call.result()]
         arrived = {desk.endpoint_id: desk.arrived_at for desk in desks}
-        yield Load(arrived, started + TOLD_SECONDS, ended, answers)
+        yield Load(arrived, started + KNOWN_SECONDS, ended, answers)
 
 
-def press(fleet, gateway, until, pause=CALL_PAUSE_SECONDS):
-    """Call a gateway again and again; return the answers."""
+def call_repeatedly(fleet, gateway, until, pause=CALL_PAUSE_SECONDS):
+    """Call a gateway repeatedly until a moment; return the answers."""
     answers = []
     while (asked_at := fleet.on_loop(fleet.loop.time)) < until:
         answer = fleet.call(gateway, "GET", "/reads/1")
@@ -127,24 +142,24 @@
 
 
 def test_daemons_together_keep_the_limit_of_an_endpoint(load):
-    """Guards against daemons whose requests together exceed a limit that each knows."""
+    """Guards against daemons that each keep a limit but together exceed it."""
     for arrived_at in load.arrived_at_by_id.values():
-        limited = [at for at in arrived_at if load.told_at <= at < load.ended_at]
+        limited = [at for at in arrived_at if load.known_at <= at < load.ended_at]
         for first in limited:
             window = [at for at in limited if first <= at < first + WINDOW_SECONDS]
             assert len(window) <= 1.5 * RATE * WINDOW_SECONDS + 5
 
 
-def test_a_limit_is_used_while_it_is_kept(load):
-    """Guards against a limit that is kept by hardly using its endpoint."""
-    seconds = load.ended_at - load.told_at
+def test_a_limited_endpoint_is_used_up_to_its_limit(load):
+    """Guards against a limit that is kept by hardly using the endpoint."""
+    seconds = load.ended_at - load.known_at
     for arrived_at in load.arrived_at_by_id.values():
-        limited = [at for at in arrived_at if load.told_at <= at < load.ended_at]
+        limited = [at for at in arrived_at if load.known_at <= at < load.ended_at]
         assert len(limited) >= 0.8 * RATE * seconds
 
 
-def test_what_limits_leave_no_room_for_is_refused_at_once(load):
-    """Guards against callers who wait in vain for an endpoint that takes no more."""
+def test_requests_beyond_the_limits_are_refused_at_once(load):
+    """Guards against callers that wait in vain for endpoints at their limits."""
     refused = [t for t in load.answers if t.answer.status == 503]
     assert refused
     assert all(float(t.answer.headers["retry-after"]) > 0 for t in refused)
@@ -152,11 +167,11 @@
 
 
 def test_the_end_of_a_limit_is_noticed(load):
-    """Guards against endpoints that have recovered and stay limited."""
+    """Guards against endpoints that stay limited after their limit has ended."""
     after = [
         timed.answer.status
         for timed in load.answers
-        if timed.asked_at >= load.ended_at + NOTICED_SECONDS
+        if timed.asked_at >= load.ended_at + END_KNOWN_SECONDS
     ]
     assert after
     assert set(after) == {200}
