--- a/cranberrywick/gateway/endpoint_snapshot.py
+++ b/cranberrywick/gateway/endpoint_snapshot.py
@@ -3,8 +3,8 @@
 Load pattern: endpoints are replaced one after the other while every daemon must know
 within a second or two which of them leave. If all records were sent at each change,
 those of some hundred endpoints would fill the links of a relay that forwards them to
-forty daemons: datagrams would be lost, and daemons that the store turns away would send
-requests to endpoints that left seconds before. As differences, updates take some
+forty daemons: datagrams would be lost, and daemons whose calls the store refuses would
+send requests to endpoints that left seconds before. As differences, updates take some
 hundred bytes; a daemon that has missed one requests all records from a peer over a
 connection, which loses nothing.
 """
--- a/cranberrywick/gateway/peer_updates.py
+++ b/cranberrywick/gateway/peer_updates.py
@@ -155,11 +155,11 @@
         self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def slowdown_changed(self) -> None:
-        """Schedule a heartbeat soon, after a change of an engine's slowdown."""
+        """Schedule a heartbeat as after a new job: an engine's slowdown changed."""
         self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def limit_changed(self) -> None:
-        """Schedule a heartbeat soon, after a change of an endpoint's rate limit."""
+        """Schedule a heartbeat as after a new job: an endpoint's limit changed."""
         self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def job_ended(self) -> None:
@@ -289,8 +289,8 @@
             return
         self._relaying.forward(RelayedHeartbeat(now, heartbeat), scope)
         if is_new and self._answers_newcomers(scope):
-            # The newcomer learns of this daemon and of the endpoints at once, and can
-            # serve even while the store is unavailable.
+            # The newcomer receives this daemon's state and the endpoints at once, and
+            # can serve even while the store is unavailable.
             self._answer_newcomer(heartbeat.peer_address, now)
             self._listener.peer_joined(heartbeat.peer_address)
 
--- a/cranberrywick/gateway/permits.py
+++ b/cranberrywick/gateway/permits.py
@@ -141,8 +141,8 @@
     ) -> bool:
         """Wait for a permit's moment; return False if the permit became void.
 
-        It does if the known limit has fallen, another daemon is the steward or the
-        permit is used too late.
+        A permit becomes void if the known limit falls, if another daemon becomes the
+        steward, or more than `MAX_USE_DELAY_SECONDS` after its moment.
         """
         usable_at = self._loop.time() + permit.wait_seconds
         while (left := usable_at - self._loop.time()) > 0:
--- a/cranberrywick/gateway/registration.py
+++ b/cranberrywick/gateway/registration.py
@@ -71,7 +71,7 @@
             self._daemon_id, self._peer_updates.peer_address, LEASE_SECONDS
         )
 
-    def _registered(self, lease: int, asked_at: float) -> None:
+    def _registered(self, lease: int, requested_at: float) -> None:
         if lease != self._lease:
             self._lease = lease
             self._log.info(
@@ -89,10 +89,12 @@
     def _read_members(self) -> None:
         self._calls.make("operator", self._store.read_members, self._record_members)
 
-    def _record_members(self, addresses_by_id: dict[str, str], asked_at: float) -> None:
+    def _record_members(
+        self, addresses_by_id: dict[str, str], requested_at: float
+    ) -> None:
         addresses_by_id.pop(self._daemon_id, None)
         self._peer_updates.set_registered_addresses(addresses_by_id)
 
 
-def _ignore(answer: object, asked_at: float) -> None:
+def _ignore(answer: object, requested_at: float) -> None:
     """Ignore the answer of a call that has no result."""
