--- a/cranberrywick/gateway/peer_updates.py
+++ b/cranberrywick/gateway/peer_updates.py
@@ -155,11 +155,11 @@
         self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def slowdown_changed(self) -> None:
-        """Schedule a heartbeat as after a new job: an engine's slowdown changed."""
+        """Schedule a heartbeat, as soon as for a new job, for a changed slowdown."""
         self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def limit_changed(self) -> None:
-        """Schedule a heartbeat as after a new job: an endpoint's limit changed."""
+        """Schedule a heartbeat, as soon as for a new job, for a changed rate limit."""
         self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def job_ended(self) -> None:
--- a/cranberrywick/gateway/recipients.py
+++ b/cranberrywick/gateway/recipients.py
@@ -63,8 +63,10 @@
         they forward its heartbeat, it stays unknown, receives nothing and refuses its
         callers.
         """
-        knows_nobody = not self._members.members_by_id and not self.registered_addresses
-        return Scope.FLEET if knows_nobody else Scope.NOBODY
+        knows_no_peer = (
+            not self._members.members_by_id and not self.registered_addresses
+        )
+        return Scope.FLEET if knows_no_peer else Scope.NOBODY
 
     def peers(self) -> set[str]:
         """Return the addresses of all other daemons that may be alive."""
@@ -79,7 +81,7 @@
         members = self._members.members_by_id
         unheard = {a for i, a in self.registered_addresses.items() if i not in members}
         if not members and not unheard:
-            # The store has not been read, or names nobody else.
+            # The list of members has not been read from the store, or is empty.
             for seed in self._settings.seeds:
                 unheard.add(f"{seed.rpartition(':')[0]}:{self._port}")
         return unheard - {self._own_address}
