--- a/cranberrywick/gateway/app.py
+++ b/cranberrywick/gateway/app.py
@@ -59,7 +59,7 @@
         )
         self._health = health
         self._waiting = WaitingRequests(self.state, placer)
-        self.state.changed = self._waiting.look
+        self.state.changed = self._waiting.schedule_placing
         forwarder = Forwarder(
             settings, self.state, self._waiting, health, self._metrics, log
         )
--- a/cranberrywick/gateway/attempt.py
+++ b/cranberrywick/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one endpoint, and its answer passed on."""
+"""One attempt: a request sent to one endpoint, its answer forwarded to the caller."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -30,18 +30,21 @@
 from cranberrywick.routing.placement import Placement
 from cranberrywick.routing.registry import TrackedEndpoint
 
-__all__ = ["Attempt", "AttemptWatch", "Passed", "WholeAnswer"]
+__all__ = ["Attempt", "AnswerCallbacks", "ForwardedAnswer", "WholeAnswer"]
 
 
 class WholeAnswer(NamedTuple):
-    """An endpoint's answer with its whole body."""
+    """An endpoint's answer, its body fully received."""
 
     head: EndpointAnswer
     body: bytes
 
-    async def pass_to(self, caller: CallerConnection) -> None:
-        """Send it to the caller as it came."""
-        headers = _passed_headers(self.head)
+    async def send_to(self, caller: CallerConnection) -> None:
+        """Send the answer to the caller with the endpoint's status, headers and body.
+
+        Raises `ConnectionError` if the caller has closed its connection.
+        """
+        headers = _forwarded_headers(self.head)
         headers.append((b"Content-Length", str(len(self.body)).encode()))
         await caller.send_head(self.head.status, self.head.reason, headers)
         if self.body:
@@ -49,29 +52,32 @@
         caller.end()
 
 
-class Passed(NamedTuple):
-    """An answer that has been passed on whole."""
+class ForwardedAnswer(NamedTuple):
+    """The status of an answer that the caller was sent in full."""
 
     status: int
 
 
-class AttemptWatch(NamedTuple):
-    """Who is told of an answer while it comes in.
+class AnswerCallbacks(NamedTuple):
+    """Callbacks for the stages of an answer that is being received.
 
-    ``head`` gets what its head says, ``first_event`` is called with the first event of
-    a stream, ``pause`` gets the endpoint and each pause between events, in seconds.
+    ``on_head`` is called with the exchange, the status and the decoded headers;
+    ``on_first_event`` with the exchange, once, at the first event of a stream;
+    ``on_pause`` with the endpoint's id and the pause since the previous event, in
+    seconds.
     """
 
-    head: Callable[[Exchange, int, ResponseMeta], None]
-    first_event: Callable[[Exchange], None]
-    pause: Callable[[str, float], None]
+    on_head: Callable[[Exchange, int, ResponseMeta], None]
+    on_first_event: Callable[[Exchange], None]
+    on_pause: Callable[[str, float], None]
 
 
 class Attempt:
-    """Sends an exchange to the endpoint of a placement.
+    """Sends a request to the endpoint of its placement and forwards the answer.
 
-    `run` raises `EndpointRefused` where the endpoint did not run it, `AmbiguousSend`
-    or `AnswerLost` where it may have.
+    ``may_send`` says whether an endpoint, given its id and whether it is used as a
+    last resort, may get new work now. ``free_seconds`` is the longest time for which
+    helpers may keep memory reserved after its last use.
     """
 
     def __init__(
@@ -80,7 +86,7 @@
         placement: Placement,
         tracked_by_id: Mapping[str, TrackedEndpoint],
         may_send: Callable[[str, bool], bool],
-        watch: AttemptWatch,
+        callbacks: AnswerCallbacks,
         connect_timeout: ConnectTimeout,
         free_seconds: float,
         log: EventLog,
@@ -92,26 +98,32 @@
         self._placement = placement
         self._tracked_by_id = tracked_by_id
         self._may_send = may_send
-        self._watch = watch
+        self._callbacks = callbacks
         self._loop = asyncio.get_running_loop()
 
-    async def run(self) -> Passed:
-        """Make the attempt."""
+    async def run(self) -> ForwardedAnswer:
+        """Make the attempt and return the status that the caller was sent.
+
+        Raises `EndpointRefused` if the endpoint did not run the request,
+        `AmbiguousSend` or `AnswerLost` if it may have, `EndpointFailed` for its own
+        5xx answer where the request may be repeated, and `ConnectionError` if the
+        caller has left.
+        """
         tracked = self._tracked_by_id.get(self._placement.endpoint_id)
         if tracked is None:
-            # Gone between the moment when the place was given and this one.
+            # The endpoint was removed from the registry after it was chosen.
             raise EndpointRefused(
                 "the endpoint is gone", reason=EndpointRefusal.LEAVING
             )
-        wanted = self._wanted_memory()
+        wanted = self._wanted_reservations()
         reservations = Reservations(wanted, self._free_seconds, self._log)
         try:
-            await reservations.take()
+            await reservations.acquire()
             return await self._run(tracked.record, reservations)
         finally:
             reservations.release()
 
-    def _wanted_memory(self) -> list[tuple[str, str, int]]:
+    def _wanted_reservations(self) -> list[tuple[str, str, int]]:
         return [
             (
                 part.endpoint_id,
@@ -122,30 +134,33 @@
             if part.reserved_tokens and part.endpoint_id in self._tracked_by_id
         ]
 
-    async def _run(self, record: EndpointRecord, reservations: Reservations) -> Passed:
+    async def _run(
+        self, record: EndpointRecord, reservations: Reservations
+    ) -> ForwardedAnswer:
         exchange = self._exchange
         async with EndpointConnection(record.address) as connection:
             await self._open(connection)
-            # Asked again now, not when the place was given: an endpoint that began
-            # to leave meanwhile would get work after its last moment for it.
+            # Checked again after connecting: the endpoint may have started to leave
+            # since it was chosen, and must get no work after its bound for that.
             if not self._may_send(record.endpoint_id, self._placement.last_resort):
                 raise EndpointRefused(
                     "the endpoint is leaving", reason=EndpointRefusal.LEAVING
                 )
             await self._send(connection, reservations)
             try:
-                passed = await self._receive(connection)
+                forwarded = await self._receive(connection)
             except EndpointRefused:
-                exchange.under_way = False
+                exchange.in_flight = False
                 raise
             except (AmbiguousSend, AnswerLost):
-                exchange.under_way = False
+                exchange.in_flight = False
                 exchange.may_have_run = True
                 raise
-        exchange.under_way = False
-        return passed
+        exchange.in_flight = False
+        return forwarded
 
     async def _open(self, connection: EndpointConnection) -> None:
+        """Connect; try a second time if this daemon was too busy to see the first."""
         started = self._loop.time()
         remaining = self._exchange.deadline - started
         allowed = min(self._connect_timeout.seconds, remaining)
@@ -177,7 +192,7 @@
                 weights_version=exchange.weights_version,
             ),
         )
-        exchange.note_sent(placement.endpoint_id, self._loop.time())
+        exchange.record_sent(placement.endpoint_id, self._loop.time())
         exchange.predicted = placement.first_event_seconds
         exchange.parts = 1 + len(placement.helpers)
         exchange.last_resort = placement.last_resort
@@ -186,7 +201,11 @@
         await connection.send(request.method, request.target, headers, request.body)
 
     def _helpers(self, reservations: Reservations) -> tuple[str, ...]:
-        """Return the helpers, those that hold memory first, as they are filled."""
+        """Return the helpers for the request's header, in the order of the placement.
+
+        Endpoints use the helpers' memory in this order, so a placement lists those
+        with a reservation first.
+        """
         ids_by_endpoint = {r.endpoint_id: r.reservation_id for r in reservations.held}
         return tuple(
             helper_entry(
@@ -197,48 +216,52 @@
             if part.endpoint_id in self._tracked_by_id
         )
 
-    async def _receive(self, connection: EndpointConnection) -> Passed:
+    async def _receive(self, connection: EndpointConnection) -> ForwardedAnswer:
         answer = await connection.read_head()
         meta = decode_response(answer.status, answer.headers_by_name)
-        self._watch.head(self._exchange, answer.status, meta)
-        self._check(answer, meta)
+        self._callbacks.on_head(self._exchange, answer.status, meta)
+        self._check_head(answer, meta)
         if self._exchange.is_stream and answer.status == 200:
-            await self._pass_stream(connection, answer, meta)
+            await self._forward_stream(connection, answer, meta)
         else:
-            await self._pass_whole(connection, answer)
-        return Passed(answer.status)
+            await self._forward_whole(connection, answer)
+        return ForwardedAnswer(answer.status)
 
-    def _check(self, answer: EndpointAnswer, meta: ResponseMeta) -> None:
+    def _check_head(self, answer: EndpointAnswer, meta: ResponseMeta) -> None:
         if meta.not_executed:
-            moved = answer.status == 421
+            is_leaving = answer.status == 421
             raise EndpointRefused(
                 f"status {answer.status}, not run, at fault: {meta.at_fault}",
-                reason=EndpointRefusal.LEAVING if moved else EndpointRefusal.FULL,
+                reason=EndpointRefusal.LEAVING if is_leaving else EndpointRefusal.FULL,
                 at_fault=meta.at_fault,
             )
         expected = self._exchange.meta.request_id
         if meta.request_id != expected:
-            # A late answer to another request, or one of nobody.
+            # The id is missing or another request's: a late answer to an earlier
+            # request, or one from a server that is not the endpoint.
             raise AnswerLost("the answer belongs to another request")
         if answer.is_encoded:
             raise AnswerLost("the answer's body is encoded")
         if answer.status < 300 and not meta.sealed:
             raise AnswerLost("the answer is not the endpoint's own")
 
-    async def _pass_whole(
+    async def _forward_whole(
         self, connection: EndpointConnection, answer: EndpointAnswer
     ) -> None:
-        """Pass an answer on once all of it is here: half of one is none."""
+        """Forward an answer after its last byte has come.
+
+        An answer that breaks off can then still be replaced by another endpoint's.
+        """
         parts = [part async for part in connection.body()]
         whole = WholeAnswer(answer, b"".join(parts))
         exchange = self._exchange
-        if exchange.caller.started:
+        if exchange.caller.answer_started:
             raise AnswerLost(f"status {answer.status} in place of more events")
         if answer.status >= 500 and exchange.route.idempotent:
             raise EndpointFailed(f"status {answer.status}", whole)
-        await whole.pass_to(exchange.caller)
+        await whole.send_to(exchange.caller)
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         connection: EndpointConnection,
         answer: EndpointAnswer,
@@ -251,37 +274,37 @@
             if splitter.is_too_long:
                 raise AnswerLost("the stream has no events")
             if whole:
-                await self._pass_events(answer, meta, whole)
+                await self._forward_events(answer, meta, whole)
                 exchange.last_event_id = splitter.last_id or exchange.last_event_id
         rest = splitter.flush()
         if rest.strip():
             raise AnswerLost("the stream ended in the middle of an event")
-        if not exchange.caller.started:
-            await self._begin(answer, meta)
+        if not exchange.caller.answer_started:
+            await self._send_head(answer, meta)
         exchange.caller.end()
 
-    async def _pass_events(
+    async def _forward_events(
         self, answer: EndpointAnswer, meta: ResponseMeta, whole: bytes
     ) -> None:
-        pause = self._exchange.note_events(self._loop.time())
-        if pause is not None and not self._is_first:
-            self._watch.pause(self._placement.endpoint_id, pause)
-        if not self._exchange.caller.started:
-            await self._begin(answer, meta)
-        if self._is_first:
-            self._is_first = False
-            self._watch.first_event(self._exchange)
+        pause = self._exchange.record_events(self._loop.time())
+        if pause is not None and not self._awaits_first_event:
+            self._callbacks.on_pause(self._placement.endpoint_id, pause)
+        if not self._exchange.caller.answer_started:
+            await self._send_head(answer, meta)
+        if self._awaits_first_event:
+            self._awaits_first_event = False
+            self._callbacks.on_first_event(self._exchange)
         await self._exchange.caller.send_body(whole)
 
-    async def _begin(self, answer: EndpointAnswer, meta: ResponseMeta) -> None:
+    async def _send_head(self, answer: EndpointAnswer, meta: ResponseMeta) -> None:
         self._exchange.weights_version = meta.weights_version
-        headers = _passed_headers(answer)
+        headers = _forwarded_headers(answer)
         await self._exchange.caller.send_head(answer.status, answer.reason, headers)
 
-    _is_first = True
+    _awaits_first_event = True
 
 
-def _passed_headers(answer: EndpointAnswer) -> list[tuple[bytes, bytes]]:
+def _forwarded_headers(answer: EndpointAnswer) -> list[tuple[bytes, bytes]]:
     return [
         (name, value)
         for name, value in answer.raw_headers
--- a/cranberrywick/gateway/exchange.py
+++ b/cranberrywick/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""What is known of one request while it is served."""
+"""The state of one request while it is served."""
 
 import json
 
@@ -10,19 +10,21 @@
 
 __all__ = ["Exchange"]
 
-# Told to callers where no failure gives a time of its own: one round of news about
-# endpoints that have become free or failed.
+# Value of Retry-After where the failure sets none, in seconds. In this time daemons
+# exchange updates about endpoints that became free or failed.
 RETRY_SECONDS = 0.3
 
 _keys = iter(range(1, 2**62))
 
 
 class Exchange:
-    """One request, its caller and what has come of it so far.
+    """One request, its caller and its attempts so far.
 
-    ``key`` is unique in this process; a caller's request id is only its word.
-    ``tried_ids`` are the endpoints that failed it, ``sent_ids`` those that it was sent
-    to, ``under_way`` whether one has it now.
+    ``key`` is unique in this process, which the request id of a caller need not be.
+    ``sent_ids`` are the endpoints that the request was sent to, ``tried_ids`` the
+    endpoints that were at fault for a failed attempt. ``in_flight`` says whether an
+    endpoint has the request now, ``may_have_run`` whether one that failed may have run
+    it. Moments are times of the event loop, in seconds.
     """
 
     def __init__(
@@ -40,7 +42,7 @@
         self.deadline = float("inf")
         self.tried_ids: set[str] = set()
         self.sent_ids: set[str] = set()
-        self.under_way = False
+        self.in_flight = False
         self.sent_at: float | None = None
         self.may_have_run = False
         self.placed_at: float | None = None
@@ -56,36 +58,39 @@
         self.endpoint_id = ""
         self.status = 0
 
-    def note_sent(self, endpoint_id: str, now: float) -> None:
-        """Note that the request leaves for an endpoint."""
+    def record_sent(self, endpoint_id: str, now: float) -> None:
+        """Record that the request is being sent to an endpoint."""
         self.sent_at = now
         self.sent_ids.add(endpoint_id)
         self.endpoint_id = endpoint_id
-        self.under_way = True
+        self.in_flight = True
 
     @property
     def sent_count(self) -> int:
-        """How many endpoints it was sent to."""
+        """How many endpoints the request was sent to."""
         return len(self.sent_ids)
 
     @property
     def sent_after(self) -> float | None:
-        """How many seconds after its arrival it was sent last; None if it was not."""
+        """Seconds from the request's arrival to its last attempt; None before one."""
         return None if self.sent_at is None else self.sent_at - self.request.arrived
 
     @property
     def answering_ids(self) -> frozenset[str] | None:
-        """Which endpoints may still answer it; None for any.
+        """The ids of the endpoints that the request may still be sent to; None for any.
 
-        Once it was sent to as many as its route allows, those that have not failed it
-        may have it again, with other helpers.
+        Once it was sent to as many endpoints as its route allows, only those of them
+        that were not at fault may get it again, with other helpers.
         """
         if self.sent_count < self.route.max_endpoints:
             return None
         return frozenset(self.sent_ids - self.tried_ids)
 
-    def note_events(self, now: float) -> float | None:
-        """Note that events have come; return the pause before them, if any."""
+    def record_events(self, now: float) -> float | None:
+        """Record that events came in; return the pause before them, in seconds.
+
+        Returns None for the first events of the request.
+        """
         last, self.last_event_at = self.last_event_at, now
         if last is None:
             return None
@@ -94,40 +99,41 @@
 
     @property
     def host(self) -> str:
-        """The host that the caller asked for."""
+        """The request's Host header, empty without one."""
         return (self.request.header(b"host") or b"").decode("latin-1")
 
     @property
     def path(self) -> str:
-        """The path as the caller wrote it, without the query."""
+        """The request's path as the caller encoded it, without the query."""
         return self.request.target.partition(b"?")[0].decode("latin-1")
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the answer is a stream of server-sent events."""
         return self.route.kind is RouteKind.STREAMING
 
     def failure_status(self, error: CranberrywickError) -> int:
-        """Return the status for a failure.
+        """Return the HTTP status of the error answer.
 
-        Statuses that promise "not run" are given only while that is known.
+        Callers take 503 and the statuses of invalid requests to mean that the request
+        has not run. They are returned only if that is certain; else 502 or 504.
         """
         if isinstance(error, InvalidRequest) and not self.sent_count:
             return error.status
-        may_have_run = self.may_have_run or self.under_way
+        may_have_run = self.may_have_run or self.in_flight
         if error.executed is Executed.NO and not may_have_run:
             return 503
         return 504 if error.status == 504 else 502
 
     def retry_seconds(self, error: CranberrywickError) -> float:
-        """Return when the caller should come back."""
+        """Return after how many seconds the caller should send the request again."""
         return error.retry_after or RETRY_SECONDS
 
     def failure_body(self, error: CranberrywickError) -> bytes:
-        """Return the body that tells a caller of a failure."""
+        """Return the JSON body of the error answer."""
         if isinstance(error, EndpointRefused):
             error.public_message = "no endpoint took the request"
         body = error.body(self.meta.request_id)
-        if self.may_have_run or self.under_way:
+        if self.may_have_run or self.in_flight:
             body["executed"] = Executed.UNKNOWN.value
         return json.dumps({"error": body}).encode()
--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -1,8 +1,9 @@
-"""One request's way: route, identify, place, send, pass the answer back.
+"""Serving one request: route, identify, place, send, forward the answer.
 
-A failure says whether the request ran. Until the first byte leaves for an endpoint
-it has not; after that only the endpoint's own word says so. One place keeps this,
-`Exchange.may_have_run`, and every answer of the gateway's own is made from it.
+An error answer says whether the request ran. Before its first byte is sent to an
+endpoint it has not run. After that, only an answer of the endpoint can say that it
+has not. `Exchange.may_have_run` and `Exchange.in_flight` record this, and every error
+answer that the gateway itself makes is derived from them.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
     PlatformUnavailable,
     TimedOut,
 )
-from cranberrywick.gateway.attempt import Attempt, AttemptWatch, Passed
+from cranberrywick.gateway.attempt import AnswerCallbacks, Attempt, ForwardedAnswer
 from cranberrywick.gateway.exchange import Exchange
 from cranberrywick.gateway.ingress import CallerConnection, HttpRequest
 from cranberrywick.gateway.lazy_metrics import LazyMetrics
@@ -43,15 +44,15 @@
 
 __all__ = ["Forwarder"]
 
-# An answer of the gateway's own leaves this much before the route's time-out, so
-# that it is there when the time is over.
+# How long before the route's timeout the gateway gives a request up, in seconds, so
+# that the caller receives the gateway's error answer before the timeout.
 TIMEOUT_MARGIN_SECONDS = 0.01
-# A second try is not worth sending with less time left than this.
-LEAST_TRY_SECONDS = 0.05
+# Least time that must be left before the deadline for another attempt, in seconds.
+LEAST_ATTEMPT_SECONDS = 0.05
 
 
 class Forwarder:
-    """Serves each request of a caller; called by the ingress."""
+    """Serves each request of a caller: the handler that the ingress calls."""
 
     def __init__(
         self,
@@ -81,7 +82,11 @@
         )
 
     async def __call__(self, request: HttpRequest, caller: CallerConnection) -> None:
-        """Serve a request to its end; cancelled when the caller leaves."""
+        """Serve a request until its answer has been sent.
+
+        Failures become error answers. The task is cancelled when the caller closes
+        its connection.
+        """
         exchange = Exchange(request, caller, decode_request(request.headers))
         outcome = "internal_error"
         try:
@@ -92,11 +97,13 @@
                 await self._serve(exchange)
             outcome = "completed"
         except CranberrywickError as error:
-            outcome = await self._fail(exchange, error)
+            outcome = await self._answer_failure(exchange, error)
         except TimeoutError:
-            if exchange.under_way:
-                self._observations.call_ended(exchange)
-            outcome = await self._fail(exchange, self._timed_out(exchange))
+            if exchange.in_flight:
+                self._observations.record_call_end(exchange)
+            outcome = await self._answer_failure(
+                exchange, self._timeout_error(exchange)
+            )
         except ConnectionError:
             outcome = "caller_gone"
         except asyncio.CancelledError:
@@ -105,18 +112,22 @@
         finally:
             self._state.load.drop(exchange.key)
             self._state.peer_updates.job_ended()
-            self._waiting.look()
-            self._note_end(exchange, outcome)
+            self._waiting.schedule_placing()
+            self._record_end(exchange, outcome)
 
     def _route(self, exchange: Exchange) -> None:
-        """Find the route, the organisation and the time there is."""
+        """Set the route, the organisation, the service and the deadline.
+
+        Raises `PlatformUnavailable` while no configuration is known, and the errors
+        of the routing table, such as `NotFound` and `Unauthorised`.
+        """
         table = self._state.table
         if table is None:
-            is_away = self._state.store_is_away
+            is_without_store = self._state.store_is_away
             raise PlatformUnavailable(
                 "no configuration is known yet",
                 retry_after=LEAST_SECONDS_WITHOUT_STORE
-                if is_away
+                if is_without_store
                 else STARTING_SECONDS,
             )
         exchange.version = table.configuration.version
@@ -136,40 +147,47 @@
         self._budget.record_request(service.name, self._loop.time())
 
     async def _serve(self, exchange: Exchange) -> None:
-        """Try endpoints until one has answered."""
+        """Make attempts at endpoints until the answer of one has been forwarded."""
         while True:
             placement = await self._placements.take(exchange)
             try:
-                passed = await self._attempt(exchange, placement)
+                forwarded = await self._attempt(exchange, placement)
             except CranberrywickError as error:
                 self._state.load.drop(exchange.key)
                 self._raise_unless_retried(exchange, placement, error)
                 continue
-            self._answered(exchange, placement, passed)
+            self._record_answer(exchange, placement, forwarded)
             return
 
-    async def _attempt(self, exchange: Exchange, placement: Placement) -> Passed:
+    async def _attempt(
+        self, exchange: Exchange, placement: Placement
+    ) -> ForwardedAnswer:
         tracked_endpoints = self._state.registry.tracked_by_id
         attempt = Attempt(
             exchange,
             placement,
             tracked_endpoints,
             self._state.may_send,
-            self._watch(exchange),
+            self._make_callbacks(exchange),
             self._connect_timeout,
             self._settings.bounds.free_seconds,
             self._log,
         )
         return await attempt.run()
 
-    def _watch(self, exchange: Exchange) -> AttemptWatch:
+    def _make_callbacks(self, exchange: Exchange) -> AnswerCallbacks:
         observations = self._observations
-        return AttemptWatch(
-            observations.head, self._first_event, observations.pause_watch(exchange)
+        return AnswerCallbacks(
+            observations.record_head,
+            self._record_first_event,
+            observations.pause_recorder(exchange),
         )
 
-    def _first_event(self, exchange: Exchange) -> None:
-        """Note that an endpoint has read the prompt and now writes."""
+    def _record_first_event(self, exchange: Exchange) -> None:
+        """Mark the request's jobs as decoding: its prompt has been read.
+
+        Other requests may now fit at the same endpoints, so places are looked for.
+        """
         now = self._loop.time()
         if exchange.first_event_at is None:
             exchange.first_event_at = now
@@ -180,23 +198,23 @@
         ]
         self._state.load.put(exchange.key, jobs)
         self._state.peer_updates.job_ended()
-        self._waiting.look()
+        self._waiting.schedule_placing()
 
-    def _answered(
-        self, exchange: Exchange, placement: Placement, passed: Passed
+    def _record_answer(
+        self, exchange: Exchange, placement: Placement, forwarded: ForwardedAnswer
     ) -> None:
-        exchange.status = passed.status
-        self._observations.call_ended(exchange)
-        if passed.status < 500:
+        exchange.status = forwarded.status
+        self._observations.record_call_end(exchange)
+        if forwarded.status < 500:
             self._health.succeeded(placement.endpoint_id, self._loop.time())
 
     def _raise_unless_retried(
         self, exchange: Exchange, placement: Placement, error: CranberrywickError
     ) -> None:
-        """Return if the request may be sent to another endpoint, else raise."""
+        """Record a failed attempt, and raise its error unless another may follow."""
         now = self._loop.time()
-        endpoint_id = self._at_fault(placement, error)
-        cooldown = self._note_failure(endpoint_id, error, now)
+        endpoint_id = self._endpoint_at_fault(placement, error)
+        cooldown = self._record_failure(endpoint_id, error, now)
         exchange.tried_ids.add(endpoint_id)
         exchange.may_have_run |= error.executed is not Executed.NO
         reason = self._reason_to_stop(exchange, error, now)
@@ -216,21 +234,24 @@
         if reason:
             raise error
 
-    def _note_failure(
+    def _record_failure(
         self, endpoint_id: str, error: CranberrywickError, now: float
     ) -> float:
-        """Hold a failure against the endpoint; return its cooldown."""
+        """Record a failure of the endpoint and return its cooldown, in seconds."""
         if isinstance(error, EndpointFailed):
             self._health.answered_failure(endpoint_id, now)
             return 0.0
         return self._health.failed(endpoint_id, now)
 
-    def _at_fault(self, placement: Placement, error: CranberrywickError) -> str:
-        """Return the endpoint that a failed attempt is held against.
+    def _endpoint_at_fault(
+        self, placement: Placement, error: CranberrywickError
+    ) -> str:
+        """Return the id of the endpoint that is at fault for a failed attempt.
 
-        An endpoint that refuses for a helper's fault is sound. Held against it, the
-        helper stays in use, and two refusals use up all endpoints that a request may
-        be sent to, with seconds of its time left.
+        An endpoint may refuse because one of its helpers failed, and names that
+        helper's address. If the failure were recorded for the endpoint itself, the
+        helper would stay in use, and two such refusals would exhaust the endpoints
+        that a request may be sent to, seconds before its deadline.
         """
         address = error.at_fault if isinstance(error, EndpointRefused) else None
         tracked_by_id = self._state.registry.tracked_by_id
@@ -243,31 +264,35 @@
     def _reason_to_stop(
         self, exchange: Exchange, error: CranberrywickError, now: float
     ) -> str:
+        """Return why no other attempt may follow, empty if one may."""
         if exchange.may_have_run and not exchange.route.idempotent:
             return "it may have run"
-        if exchange.caller.started and not exchange.is_stream:
+        if exchange.caller.answer_started and not exchange.is_stream:
             return "the answer has begun"
-        if exchange.deadline - now < LEAST_TRY_SECONDS:
+        if exchange.deadline - now < LEAST_ATTEMPT_SECONDS:
             return "no time is left"
         if exchange.answering_ids is not None and not exchange.answering_ids:
             return "no further endpoint is allowed"
-        if _reached(error) and not self._budget.take(
+        if _may_have_arrived(error) and not self._budget.take(
             exchange.service.name, self._state.peer_updates.most_members, now
         ):
             return "the retry budget is spent"
         return ""
 
-    def _timed_out(self, exchange: Exchange) -> TimedOut:
-        executed = Executed.UNKNOWN if exchange.under_way else Executed.NO
+    def _timeout_error(self, exchange: Exchange) -> TimedOut:
+        executed = Executed.UNKNOWN if exchange.in_flight else Executed.NO
         return TimedOut("the time for this request is over", executed=executed)
 
-    async def _fail(self, exchange: Exchange, error: CranberrywickError) -> str:
-        """Tell the caller of a failure, as far as that is still possible."""
-        if exchange.caller.started:
-            # Part of an answer is out: the connection closes without its end.
+    async def _answer_failure(
+        self, exchange: Exchange, error: CranberrywickError
+    ) -> str:
+        """Send the error answer if none has begun; return the outcome for the log."""
+        if exchange.caller.answer_started:
+            # Part of an answer has been sent. The ingress closes the connection
+            # without the end of the body, so the caller sees that it is incomplete.
             return error.type
         if isinstance(error, EndpointFailed):
-            return await self._pass_failure(exchange, error)
+            return await self._forward_failure(exchange, error)
         status = exchange.failure_status(error)
         exchange.status = status
         retry_seconds = exchange.retry_seconds(error) if status in (429, 503) else None
@@ -278,16 +303,17 @@
             return "caller_gone"
         return error.type
 
-    async def _pass_failure(self, exchange: Exchange, error: EndpointFailed) -> str:
-        """Pass on the endpoint's own answer, which is better than one of ours."""
+    async def _forward_failure(self, exchange: Exchange, error: EndpointFailed) -> str:
+        """Forward the endpoint's own error answer: the gateway's would say less."""
         try:
-            await error.answer.pass_to(exchange.caller)
+            await error.answer.send_to(exchange.caller)
         except ConnectionError:
             return "caller_gone"
         exchange.status = error.answer.head.status
         return error.type
 
-    def _note_end(self, exchange: Exchange, outcome: str) -> None:
+    def _record_end(self, exchange: Exchange, outcome: str) -> None:
+        """Record the metrics of a request that ended, and log its last line."""
         now = self._loop.time()
         route = exchange.route
         name = route.name if route else ""
@@ -328,8 +354,12 @@
         )
 
 
-def _reached(error: CranberrywickError) -> bool:
-    """Whether the attempt arrived at the endpoint, so that another is a repeat."""
+def _may_have_arrived(error: CranberrywickError) -> bool:
+    """Whether the endpoint may have received the request.
+
+    Another attempt then counts against the retry budget: it adds to the load of
+    endpoints that may be overloaded.
+    """
     if isinstance(error, EndpointRefused):
         return error.reason is not EndpointRefusal.UNREACHABLE
     return isinstance(error, AmbiguousSend | AnswerLost | Overloaded)
--- a/cranberrywick/gateway/ingress.py
+++ b/cranberrywick/gateway/ingress.py
@@ -15,7 +15,7 @@
 
 from cranberrywick.routing.model import RequestLimits
 
-__all__ = ["CallerConnection", "HttpRequest", "Ingress", "keep_probing"]
+__all__ = ["CallerConnection", "HttpRequest", "Ingress", "enable_keepalive"]
 
 # In force until the first configuration says otherwise.
 DEFAULT_LIMITS = RequestLimits(
@@ -67,7 +67,7 @@
 Handler = Callable[[HttpRequest, "CallerConnection"], Awaitable[None]]
 
 
-def keep_probing(transport: asyncio.BaseTransport) -> None:
+def enable_keepalive(transport: asyncio.BaseTransport) -> None:
     """Let the kernel probe a connection, so that a silent cut ends it."""
     sock: socket.socket | None = transport.get_extra_info("socket")
     if sock is None:
@@ -161,7 +161,7 @@
         self._can_write.set()
         self._closed = False
         self._refused = False
-        self.started = False
+        self.answer_started = False
 
     @property
     def busy(self) -> bool:
@@ -176,7 +176,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Called by asyncio."""
         self._transport = transport
-        keep_probing(transport)
+        enable_keepalive(transport)
         self._ingress.connections.add(self)
         self._set_timer(self._ingress.limits.idle_seconds, self.close_if_idle)
 
@@ -265,7 +265,7 @@
             arrived=self._head_at,
         )
         self._body = []
-        self.started = False
+        self.answer_started = False
         self._task = self._loop.create_task(self._serve(request))
 
     async def _serve(self, request: HttpRequest) -> None:
@@ -294,7 +294,7 @@
         """Send the status line and headers; closes the connection when draining."""
         if self._ingress.draining:
             headers = [*headers, (b"Connection", b"close")]
-        self.started = True
+        self.answer_started = True
         head = h11.Response(status_code=status, headers=headers, reason=reason)
         self._send(head)
         await self._can_write.wait()
--- a/cranberrywick/gateway/lazy_metrics.py
+++ b/cranberrywick/gateway/lazy_metrics.py
@@ -17,7 +17,7 @@
 
 # Notes that wait; with so many the library is loaded though nobody reads. Some hundred
 # bytes each.
-MOST_WAITING = 2_000
+MAX_PENDING = 2_000
 
 
 class Rendered(NamedTuple):
@@ -39,7 +39,7 @@
     def __init__(self, daemon_id: str):
         self._daemon_id = daemon_id
         self._metrics: Metrics | None = None
-        self._waiting: list[Callable[[Metrics], None]] = []
+        self._pending: list[Callable[[Metrics], None]] = []
         self._loading: asyncio.Task[Metrics] | None = None
 
     def request_ended(self, class_name: str, outcome: str, seconds: float) -> None:
@@ -71,8 +71,8 @@
         if self._metrics is not None:
             note(self._metrics)
             return
-        self._waiting.append(note)
-        if len(self._waiting) >= MOST_WAITING:
+        self._pending.append(note)
+        if len(self._pending) >= MAX_PENDING:
             self._load()
 
     def _load(self) -> asyncio.Task["Metrics"]:
@@ -85,9 +85,9 @@
     async def _make(self) -> "Metrics":
         # On a thread of its own: requests go on meanwhile.
         metrics = await asyncio.to_thread(_import_metrics, self._daemon_id)
-        for note in self._waiting:
+        for note in self._pending:
             note(metrics)
-        self._waiting.clear()
+        self._pending.clear()
         self._metrics = metrics
         return metrics
 
--- a/cranberrywick/gateway/observations.py
+++ b/cranberrywick/gateway/observations.py
@@ -23,7 +23,7 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
 
-    def head(self, exchange: Exchange, status: int, meta: ResponseMeta) -> None:
+    def record_head(self, exchange: Exchange, status: int, meta: ResponseMeta) -> None:
         """Note the limit that an answer names, or that it names none any more."""
         if meta.rate_limit is None:
             return
@@ -43,7 +43,7 @@
             request_id=exchange.meta.request_id,
         )
 
-    def pause_watch(self, exchange: Exchange) -> Callable[[str, float], None]:
+    def pause_recorder(self, exchange: Exchange) -> Callable[[str, float], None]:
         """Return what takes the pauses of an attempt's stream."""
         profile = exchange.service.engine
         declared = profile.stride * profile.step_seconds if profile else 0.0
@@ -73,7 +73,7 @@
             request_id=exchange.meta.request_id,
         )
 
-    def call_ended(self, exchange: Exchange) -> None:
+    def record_call_end(self, exchange: Exchange) -> None:
         """Note an endpoint as slow whose call alone took longer than its target."""
         if exchange.is_stream:
             return
--- a/cranberrywick/gateway/reservations.py
+++ b/cranberrywick/gateway/reservations.py
@@ -51,7 +51,7 @@
     ``free_seconds`` is how soon memory must be free after its last use.
 
     >>> held = Reservations([(endpoint_id, address, tokens)], 4.0, log)
-    >>> await held.take()
+    >>> await held.acquire()
     >>> held.release()
     """
 
@@ -72,7 +72,7 @@
         self._unanswered: set[str] = set()
         self._renewals: asyncio.Task | None = None
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Reserve everywhere; raises `EndpointRefused` if one has no memory."""
         if not self.held:
             return
--- a/cranberrywick/gateway/upstream.py
+++ b/cranberrywick/gateway/upstream.py
@@ -12,7 +12,7 @@
 import h11
 
 from cranberrywick.errors import AmbiguousSend, AnswerLost, EndpointRefused
-from cranberrywick.gateway.ingress import keep_probing
+from cranberrywick.gateway.ingress import enable_keepalive
 from cranberrywick.model import EndpointRefusal
 
 __all__ = ["EndpointAnswer", "EndpointConnection"]
@@ -89,7 +89,7 @@
                 f"no connection: {type(error).__name__}",
                 reason=EndpointRefusal.UNREACHABLE,
             ) from error
-        keep_probing(self._writer.transport)
+        enable_keepalive(self._writer.transport)
 
     async def send(
         self,
--- a/cranberrywick/gateway/waiting.py
+++ b/cranberrywick/gateway/waiting.py
@@ -66,7 +66,7 @@
         place = self._loop.create_future()
         waiter = _Waiter(demand, priority, due_at, deadline, place)
         self._waiters.append(waiter)
-        self.look()
+        self.schedule_placing()
         try:
             return await waiter.place
         finally:
@@ -75,12 +75,12 @@
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
-    def look(self) -> None:
+    def schedule_placing(self) -> None:
         """Look soon whether a request that waits can go on."""
         if self._waiters and self._scheduled is None:
-            self._scheduled = self._loop.call_soon(self._look)
+            self._scheduled = self._loop.call_soon(self._place_all)
 
-    def _look(self) -> None:
+    def _place_all(self) -> None:
         self._scheduled = None
         now = self._loop.time()
         self._waiters.sort(key=lambda w: order_key(w.priority, w.due_at, now))
@@ -90,7 +90,7 @@
                 continue
             self._serve(waiter)
         if self._waiters:
-            self._scheduled = self._loop.call_later(LOOK_AGAIN_SECONDS, self._look)
+            self._scheduled = self._loop.call_later(LOOK_AGAIN_SECONDS, self._place_all)
 
     def _serve(self, waiter: _Waiter) -> None:
         try:
--- a/tests/test_lazy_metrics.py
+++ b/tests/test_lazy_metrics.py
@@ -4,7 +4,7 @@
 import subprocess
 import sys
 
-from cranberrywick.gateway.lazy_metrics import MOST_WAITING, LazyMetrics
+from cranberrywick.gateway.lazy_metrics import MAX_PENDING, LazyMetrics
 
 
 def test_a_start_does_not_load_the_metrics_library():
@@ -40,15 +40,15 @@
 
     async def main():
         metrics = LazyMetrics("e1")
-        for _ in range(MOST_WAITING):
+        for _ in range(MAX_PENDING):
             metrics.queue_wait("grants", 0.01)
         async with asyncio.timeout(30):
-            while metrics._waiting:
+            while metrics._pending:
                 await asyncio.sleep(0.01)
         return await metrics.render()
 
     rendered = asyncio.run(main())
-    assert f'queue_wait_seconds_count{{class="grants"}} {MOST_WAITING}'.encode() in (
+    assert f'queue_wait_seconds_count{{class="grants"}} {MAX_PENDING}'.encode() in (
         rendered.body.replace(b".0\n", b"\n")
     )
 
