--- a/cranberrywick/gateway/attempt.py
+++ b/cranberrywick/gateway/attempt.py
@@ -229,10 +229,12 @@
 
     def _check_head(self, answer: EndpointAnswer, meta: ResponseMeta) -> None:
         if meta.not_executed:
-            is_leaving = answer.status == 421
+            is_misdirected = answer.status == 421
             raise EndpointRefused(
                 f"status {answer.status}, not run, at fault: {meta.at_fault}",
-                reason=EndpointRefusal.LEAVING if is_leaving else EndpointRefusal.FULL,
+                reason=EndpointRefusal.LEAVING
+                if is_misdirected
+                else EndpointRefusal.FULL,
                 at_fault=meta.at_fault,
             )
         expected = self._exchange.meta.request_id
--- a/cranberrywick/gateway/ingress.py
+++ b/cranberrywick/gateway/ingress.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 towards callers: one protocol object for each connection.
+"""The HTTP/1.1 server for callers: one protocol object for each connection.
 
-h11 does the parsing and framing. A connection serves one request at a time; what
-the caller sends meanwhile waits in h11's buffer. A caller's close cancels the task
-that serves its request, so that nothing goes on for nobody.
+h11 parses and frames messages. A connection serves one request at a time; what the
+caller sends meanwhile stays in h11's buffer. When a caller closes its connection, the
+task that serves its request is cancelled, so that no endpoint works on an answer that
+nobody will read.
 """
 
 import asyncio
@@ -17,31 +18,35 @@
 
 __all__ = ["CallerConnection", "HttpRequest", "Ingress", "enable_keepalive"]
 
-# In force until the first configuration says otherwise.
+# In force until the first configuration has been read.
 DEFAULT_LIMITS = RequestLimits(
     header_bytes=16384, body_bytes=4194304, header_seconds=3.0, idle_seconds=15.0
 )
-# A peer that fell silent without a reset is noticed by probes of the kernel: after
-# one second without traffic, two probes a second apart. Longer than any pause of a
-# live link, shorter than the time that a caller waits for a stream's next event.
+# TCP keepalive: the kernel probes a connection after one second without traffic and
+# closes it after two unanswered probes, one second apart. This finds a peer that
+# disappeared without a reset. It takes longer than any pause of a working link and
+# less than a caller waits for the next event of a stream.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
-# Written bytes that a peer has not acknowledged for so long, in milliseconds.
+# TCP_USER_TIMEOUT, in milliseconds: the kernel closes a connection whose peer has not
+# acknowledged sent bytes for this time.
 USER_TIMEOUT_MS = 3000
-# Connections that wait to be accepted; a burst of callers arrives in one moment.
+# Length of the listening socket's queue of connections to accept: callers may connect
+# in a burst.
 BACKLOG = 512
-# A connection that refuses a request before its body is in stays open so long, so
-# that the caller reads the answer before a reset overtakes it.
+# How long a connection stays open after a request was refused before its body was
+# read, in seconds. Closed at once with bytes unread, the kernel would send a reset,
+# which may discard the answer before the caller has read it.
 LINGER_SECONDS = 0.5
 
 
 class HttpRequest(NamedTuple):
-    """One request of a caller, whole.
+    """One request of a caller, its body fully received.
 
-    ``target`` is the request target as the caller wrote it. ``headers`` have lower
-    case names, ``raw_headers`` the caller's spelling. ``arrived`` is the loop's
-    time when its head was complete.
+    ``target`` is the request target as the caller encoded it. ``headers`` have lower
+    case names, ``raw_headers`` the caller's spelling. ``arrived`` is the event loop's
+    time, in seconds, when the head was complete.
     """
 
     method: bytes
@@ -52,7 +57,7 @@
     arrived: float
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first header of this lower case name."""
+        """Return the value of the first header with a lower case name, or None."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -60,6 +65,7 @@
 
 
 def _head_bytes(head: h11.Request) -> int:
+    """Return about how many bytes the method, the target and the headers have."""
     lines = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.method) + len(head.target) + lines
 
@@ -68,12 +74,12 @@
 
 
 def enable_keepalive(transport: asyncio.BaseTransport) -> None:
-    """Let the kernel probe a connection, so that a silent cut ends it."""
+    """Enable TCP keepalive, so that a connection cut without a reset is closed."""
     sock: socket.socket | None = transport.get_extra_info("socket")
     if sock is None:
         return
     tcp = socket.IPPROTO_TCP
-    with contextlib.suppress(OSError):  # The peer may have reset it already.
+    with contextlib.suppress(OSError):  # The peer may have closed the connection.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
         sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
@@ -82,10 +88,16 @@
 
 
 class Ingress:
-    """Listens on one address and hands each request to ``handle``.
+    """Listens on one address and calls ``handle`` with each request.
 
-    ``limits`` is read anew for each request. `drain` makes every answer from then
-    on end its connection.
+    ``limits`` is called whenever a limit is checked, so that a new configuration
+    applies to open connections too, except for the parser's bound on the head, which
+    is set when a connection is made. Without limits from it, the defaults apply.
+
+    >>> ingress = Ingress(handle)
+    >>> await ingress.start("127.0.0.1:0")
+    >>> ingress.address
+    '127.0.0.1:41373'
     """
 
     def __init__(
@@ -101,7 +113,7 @@
 
     @property
     def limits(self) -> RequestLimits:
-        """The limits in force now."""
+        """The limits that apply now."""
         return self._limits() or DEFAULT_LIMITS
 
     @property
@@ -111,12 +123,15 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as ``ip:port``."""
+        """The address on which it listens, as ``ip:port``."""
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def start(self, address: str) -> None:
-        """Begin to listen on ``ip:port``; port 0 takes a free one."""
+        """Listen on ``ip:port``; port 0 chooses a free port.
+
+        Raises `OSError` if the address can't be used.
+        """
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -128,11 +143,11 @@
         )
 
     def drain(self) -> None:
-        """Close each connection with its next answer; keep listening."""
+        """Close each connection after its next answer; new ones are still accepted."""
         self.draining = True
 
     def close(self) -> None:
-        """Stop listening and close what is idle."""
+        """Stop listening and close the connections that have no request."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -140,7 +155,11 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller."""
+    """One connection of a caller, and the answer to its current request.
+
+    ``answer_started`` says whether the head of that answer has been sent. The methods
+    that send raise `ConnectionError` if the caller has closed the connection.
+    """
 
     def __init__(self, ingress: Ingress, handle: Handler):
         self._ingress = ingress
@@ -154,7 +173,7 @@
         self._request: h11.Request | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._head_at = 0.0
+        self._arrived = 0.0
         self._task: asyncio.Task | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._can_write = asyncio.Event()
@@ -174,14 +193,14 @@
         return self._closed
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Called by asyncio."""
+        """Start the idle timer of a new connection; called by asyncio."""
         self._transport = transport
         enable_keepalive(transport)
         self._ingress.connections.add(self)
         self._set_timer(self._ingress.limits.idle_seconds, self.close_if_idle)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by asyncio."""
+        """Cancel the request that is being served; called by asyncio."""
         self._closed = True
         self._ingress.connections.discard(self)
         self._clear_timer()
@@ -190,19 +209,22 @@
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Called by asyncio; a caller that has stopped sending has left."""
+        """Close the connection of a caller that has closed its sending side.
+
+        Called by asyncio. A half-closed connection counts as one that was closed.
+        """
         return False
 
     def pause_writing(self) -> None:
-        """Called by asyncio when the caller reads too slowly."""
+        """Make sends wait: the caller reads too slowly. Called by asyncio."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Called by asyncio when the caller reads again."""
+        """Let sends go on: the caller reads again. Called by asyncio."""
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio."""
+        """Parse what the caller sent; called by asyncio."""
         try:
             self._http.receive_data(data)
         except h11.RemoteProtocolError:
@@ -225,18 +247,18 @@
                 event = self._http.next_event()
                 if event in (h11.NEED_DATA, h11.PAUSED):
                     return
-                self._take_event(event)
+                self._handle_event(event)
         except h11.RemoteProtocolError as error:
             self._refuse(error.error_status_hint)
 
-    def _take_event(self, event: h11.Event) -> None:
+    def _handle_event(self, event: h11.Event) -> None:
         if isinstance(event, h11.Request):
             if _head_bytes(event) > self._ingress.limits.header_bytes:
-                # h11 bounds only a head that is not complete yet.
+                # h11 applies its own bound to incomplete heads only.
                 self._refuse(431)
                 return
             self._request = event
-            self._head_at = self._loop.time()
+            self._arrived = self._loop.time()
             self._body, self._body_bytes = [], 0
             self._set_timer(self._ingress.limits.idle_seconds, self._body_timed_out)
             if self._http.they_are_waiting_for_100_continue:
@@ -249,12 +271,12 @@
             self._body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._clear_timer()
-            self._start()
+            self._start_task()
         elif isinstance(event, h11.ConnectionClosed):
             self._transport.close()
             self._closed = True
 
-    def _start(self) -> None:
+    def _start_task(self) -> None:
         head = self._request
         request = HttpRequest(
             method=bytes(head.method),
@@ -262,7 +284,7 @@
             headers=[(bytes(n), bytes(v)) for n, v in head.headers],
             raw_headers=[(bytes(n), bytes(v)) for n, v in head.headers.raw_items()],
             body=b"".join(self._body),
-            arrived=self._head_at,
+            arrived=self._arrived,
         )
         self._body = []
         self.answer_started = False
@@ -278,20 +300,23 @@
                 self._finish()
 
     def _finish(self) -> None:
-        """Get ready for the next request, or close."""
+        """Prepare for the next request, or close after an incomplete exchange."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             self._set_timer(self._ingress.limits.idle_seconds, self.close_if_idle)
             self._read_events()
         else:
-            # Closed without the end of the body, an unfinished answer can't be
-            # taken for a whole one.
+            # The body's end has not been sent, so the caller sees that the answer is
+            # incomplete.
             self._transport.close()
 
     async def send_head(
         self, status: int, reason: bytes, headers: list[tuple[bytes, bytes]]
     ) -> None:
-        """Send the status line and headers; closes the connection when draining."""
+        """Send the status line and the headers.
+
+        While draining, the headers say that the connection closes after this answer.
+        """
         if self._ingress.draining:
             headers = [*headers, (b"Connection", b"close")]
         self.answer_started = True
@@ -300,18 +325,18 @@
         await self._can_write.wait()
 
     async def send_body(self, data: bytes) -> None:
-        """Send a part of the body and wait while the caller does not read."""
+        """Send a part of the body; return once the write buffer has room again."""
         self._send(h11.Data(data=data))
         await self._can_write.wait()
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Send the end of the body, which marks the answer as complete."""
         self._send(h11.EndOfMessage())
 
     async def answer(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Send a whole answer of the gateway's own."""
+        """Send a complete answer that the gateway itself makes."""
         length = (b"Content-Length", str(len(body)).encode())
         await self.send_head(status, b"", [*headers, length])
         if body:
@@ -329,7 +354,7 @@
             self._transport.write(data)
 
     def _refuse(self, status: int) -> None:
-        """Answer a request that could not be read, and close."""
+        """Answer a request that can't be read, and close after `LINGER_SECONDS`."""
         self._refused = True
         self._clear_timer()
         try:
@@ -352,9 +377,9 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _set_timer(self, seconds: float, act: Callable[[], None]) -> None:
+    def _set_timer(self, seconds: float, callback: Callable[[], None]) -> None:
         self._clear_timer()
-        self._timer = self._loop.call_later(seconds, act)
+        self._timer = self._loop.call_later(seconds, callback)
 
     def _clear_timer(self) -> None:
         if self._timer is not None:
--- a/cranberrywick/gateway/upstream.py
+++ b/cranberrywick/gateway/upstream.py
@@ -1,9 +1,11 @@
-"""HTTP/1.1 towards endpoints: one connection for each attempt.
-
-A kept connection saves a millisecond and brings the answers of others: a late
-second answer, bytes after the end, a reset for a request that may have been read.
-A connection of its own for each attempt leaves nothing to be mistaken, and its end
-tells the endpoint that nobody waits any longer.
+"""The HTTP/1.1 client for endpoints: a new connection for each attempt.
+
+Reusing a connection would save a millisecond. But bytes that belong to an earlier
+request, such as a late second answer or bytes after the end of the body, could be read
+as the answer to the next one; and a reset on a reused connection leaves open whether
+the endpoint had read the new request. With one connection for each attempt, all bytes
+on it belong to one request, and closing it tells the endpoint that the caller no longer
+waits.
 """
 
 import asyncio
@@ -18,12 +20,16 @@
 __all__ = ["EndpointAnswer", "EndpointConnection"]
 
 READ_BYTES = 65536
-# An answer's head of more than this is no answer of ours.
+# Longest head of an answer, in bytes; a longer one counts as malformed.
 MAX_HEAD_BYTES = 65536
 
 
 class EndpointAnswer:
-    """The head of an endpoint's answer; the body follows from the connection."""
+    """The status line and headers of an endpoint's answer.
+
+    The body is read from the connection. ``headers_by_name`` has lower case names,
+    ``raw_headers`` the endpoint's spelling.
+    """
 
     def __init__(self, response: h11.Response):
         self.status = response.status_code
@@ -37,13 +43,13 @@
 
     @property
     def is_encoded(self) -> bool:
-        """Whether the body is not the plain bytes that were asked for."""
+        """Whether the body has a content encoding, such as gzip."""
         encoding = self.headers_by_name.get(b"content-encoding", b"identity")
         return encoding.lower() != b"identity"
 
 
 class EndpointConnection:
-    """One attempt at one endpoint.
+    """The connection of one attempt to the endpoint at ``ip:port``.
 
     >>> async with EndpointConnection("10.0.0.9:8080") as connection:
     ...     await connection.open(timeout=0.3)
@@ -64,21 +70,25 @@
         self.sent = False
 
     async def __aenter__(self) -> "EndpointConnection":
-        """Return the connection, not opened yet."""
+        """Return the connection, which `open` opens."""
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close at once, whatever is left unread."""
+        """Close at once, also if bytes are unread."""
         self.close()
 
     def close(self) -> None:
-        """Close at once; the endpoint drops the request if it still runs."""
+        """Close at once; the endpoint then drops a request that still runs."""
         if self._writer is not None:
             self._writer.transport.abort()
             self._writer = None
 
     async def open(self, timeout: float) -> None:
-        """Connect; raises `EndpointRefused`, for nothing has been sent."""
+        """Connect within ``timeout`` seconds.
+
+        Raises `EndpointRefused` on failure: nothing has been sent, so the request has
+        not run.
+        """
         try:
             async with asyncio.timeout(timeout):
                 self._reader, self._writer = await asyncio.open_connection(
@@ -98,7 +108,10 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Send a whole request; an answer may come before it is sent."""
+        """Write a complete request, without waiting until it has been sent.
+
+        The endpoint may answer before it has read the whole request.
+        """
         framing = [(b"Connection", b"close")]
         if body or method not in (b"GET", b"HEAD"):
             framing.append((b"Content-Length", str(len(body)).encode()))
@@ -107,15 +120,15 @@
         if body:
             data += self._http.send(h11.Data(data=body))
         data += self._http.send(h11.EndOfMessage())
-        # From the first byte on, the endpoint may have what it needs to run.
+        # After the first byte the endpoint may be able to run the request.
         self.sent = True
         self._writer.write(data)
 
     async def read_head(self) -> EndpointAnswer:
         """Return the head of the answer.
 
-        Raises `AmbiguousSend` for a connection that ends before it, `AnswerLost`
-        for bytes that are no answer.
+        Raises `AmbiguousSend` if the connection ends before the head is complete,
+        `AnswerLost` for bytes that are not an HTTP answer.
         """
         while True:
             event = await self._next_event()
@@ -125,7 +138,10 @@
                 raise AmbiguousSend("the endpoint closed without an answer")
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Yield the parts of the body; raises `AnswerLost` if it breaks off."""
+        """Yield the parts of the body.
+
+        Raises `AnswerLost` if the connection ends before the body does.
+        """
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -146,7 +162,7 @@
             try:
                 data = await self._reader.read(READ_BYTES)
             except OSError as error:
-                raise self._broken(error) from error
+                raise self._connection_error(error) from error
             if not data and self._http.their_state is h11.SEND_RESPONSE:
                 raise AmbiguousSend("the endpoint closed without an answer")
             try:
@@ -154,7 +170,8 @@
             except h11.RemoteProtocolError as error:
                 raise AnswerLost(f"malformed answer: {error!s:.80}") from error
 
-    def _broken(self, error: OSError) -> AmbiguousSend | AnswerLost:
+    def _connection_error(self, error: OSError) -> AmbiguousSend | AnswerLost:
+        """Return the error for a connection that failed while it was read."""
         message = f"the connection broke: {type(error).__name__}"
         if self._http.their_state is h11.SEND_BODY:
             return AnswerLost(message)
