--- a/cranberrywick/gateway/waiting.py
+++ b/cranberrywick/gateway/waiting.py
@@ -1,4 +1,7 @@
-"""Requests that wait for a place at an endpoint."""
+"""Requests that wait until an endpoint has room for them.
+
+A placement is the choice of the endpoint that answers a request and of its helpers.
+"""
 
 import asyncio
 import random
@@ -18,11 +21,12 @@
 
 __all__ = ["WaitingRequests"]
 
-# Predictions get better with time even if nothing happens: a reading that was to
-# end has ended. Looked at again after this, in seconds.
-LOOK_AGAIN_SECONDS = 0.02
-# Nothing is served in less than this. A request without a place so close to its
-# deadline is refused while its caller still has time to hear of it.
+# Interval at which waiting requests are tried again, in seconds. An endpoint may have
+# room without an event that says so: predicted loads fall with time, for instance when
+# the prefill of a prompt should be over.
+RETRY_INTERVAL_SECONDS = 0.02
+# Least time for serving a request, in seconds. A request without a placement this
+# close to its deadline is refused, while its caller can still receive the refusal.
 LEAST_SERVICE_SECONDS = 0.05
 
 
@@ -31,11 +35,15 @@
     priority: int
     due_at: float
     deadline: float
-    place: asyncio.Future
+    placement_future: asyncio.Future
 
 
 class WaitingRequests:
-    """Places requests, the most urgent first, as soon as there is a place."""
+    """Places requests as soon as endpoints have room, the most urgent first.
+
+    Requests wait in the order of their priority, then whether they can still be on
+    time, then the moment at which their answer should begin.
+    """
 
     def __init__(self, state: FleetState, placer: Placer):
         self._state = state
@@ -52,67 +60,75 @@
     async def place(
         self, demand: Demand, priority: int, due_at: float, deadline: float
     ) -> Placement:
-        """Return a place, which is counted as taken from then on.
+        """Return a placement and add its jobs to the load of its endpoints.
 
-        ``due_at`` is the moment at which the answer should begin. Raises `Overloaded`
-        when no endpoint of the service is known, when their rate limits leave no room
-        for too long, and as soon as no answer can begin before ``deadline``.
+        The answer should begin at ``due_at`` and must begin by ``deadline``, both
+        times of the event loop. Raises `Overloaded` when no known endpoints of the
+        service could hold the request, when their rate limits leave no room for too
+        long, and as soon as no answer can begin before the deadline.
         """
         placement = None
         if not self._waiters:
-            placement = self._try(demand)
+            placement = self._try_placing(demand)
         if placement is not None:
             return placement
-        place = self._loop.create_future()
-        waiter = _Waiter(demand, priority, due_at, deadline, place)
+        placement_future = self._loop.create_future()
+        waiter = _Waiter(demand, priority, due_at, deadline, placement_future)
         self._waiters.append(waiter)
         self.schedule_placing()
         try:
-            return await waiter.place
+            return await waiter.placement_future
         finally:
-            # A place that was given in this very moment is given back by the
-            # caller of this method, who drops the request's jobs in every case.
+            # If this task is cancelled just after its request was placed, the jobs
+            # are in the load already; the caller of this method drops them in every
+            # case.
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
     def schedule_placing(self) -> None:
-        """Look soon whether a request that waits can go on."""
+        """Try to place the waiting requests in the next iteration of the event loop."""
         if self._waiters and self._scheduled is None:
-            self._scheduled = self._loop.call_soon(self._place_all)
+            self._scheduled = self._loop.call_soon(self._place_waiting)
 
-    def _place_all(self) -> None:
+    def _place_waiting(self) -> None:
         self._scheduled = None
         now = self._loop.time()
         self._waiters.sort(key=lambda w: order_key(w.priority, w.due_at, now))
         for waiter in list(self._waiters):
-            if waiter.place.done():
+            if waiter.placement_future.done():
                 self._waiters.remove(waiter)
                 continue
-            self._serve(waiter)
+            self._try_waiter(waiter)
         if self._waiters:
-            self._scheduled = self._loop.call_later(LOOK_AGAIN_SECONDS, self._place_all)
+            self._scheduled = self._loop.call_later(
+                RETRY_INTERVAL_SECONDS, self._place_waiting
+            )
 
-    def _serve(self, waiter: _Waiter) -> None:
+    def _try_waiter(self, waiter: _Waiter) -> None:
         try:
-            placement = self._try(waiter.demand)
+            placement = self._try_placing(waiter.demand)
             if placement is None:
                 self._refuse_hopeless(waiter)
         except Overloaded as error:
             self._waiters.remove(waiter)
-            waiter.place.set_exception(error)
+            waiter.placement_future.set_exception(error)
             return
         if placement is not None:
             self._waiters.remove(waiter)
-            waiter.place.set_result(placement)
+            waiter.placement_future.set_result(placement)
 
     def _refuse_hopeless(self, waiter: _Waiter) -> None:
-        """Raise `Overloaded` for a request that can only miss its deadline."""
+        """Raise `Overloaded` for a request that can no longer meet its deadline."""
         left = waiter.deadline - self._loop.time()
         if left >= max(least_seconds(waiter.demand), LEAST_SERVICE_SECONDS):
             return
         raise Overloaded("no place is free in time")
 
-    def _try(self, demand: Demand) -> Placement | None:
+    def _try_placing(self, demand: Demand) -> Placement | None:
+        """Return a placement, recorded in the load; None if the request must wait.
+
+        Raises `Overloaded` for a request that can't be placed in time.
+        """
         service = demand.service.name
         usable = self._state.registry.index.ready(service, self._state.domains_out)
         last_resort = partial(self._state.last_resort, service)
@@ -134,7 +150,7 @@
         return placement
 
     def _refuse_limited(self, demand: Demand, usable: EndpointPool, now: float) -> None:
-        """Raise `Overloaded` for a request that limits keep back for too long."""
+        """Raise `Overloaded` for a request that rate limits delay for too long."""
         limit_wait = self._state.peer_updates.limits.wait_seconds
         wait = limited_seconds(demand, usable, limit_wait, now)
         if wait is None:
@@ -145,9 +161,10 @@
         )
 
     def limited_retry_seconds(self, service: str, wait: float) -> float:
-        """Return when a caller should come back whom rate limits have kept out.
+        """Return after how many seconds a caller refused for rate limits may return.
 
-        ``wait`` is after how many seconds the first endpoint may have room.
+        ``wait`` is the time until the first endpoint may have room, in seconds.
+        Callers are spread over time, at this daemon's share of the endpoints' rates.
         """
         state = self._state
         now = self._loop.time()
