--- a/cranberrywick/gateway/reservations.py
+++ b/cranberrywick/gateway/reservations.py
@@ -1,10 +1,10 @@
-"""Memory that is reserved at endpoints for one request.
+"""Memory reserved at helper endpoints for one request.
 
-A prompt above one engine's memory is held by several. A reservation runs out by
-itself soon after its owner has died, and is renewed while it is used: a daemon that
-is killed in the middle leaves no memory behind for longer than a renewal lasts. An
-order that got no answer may be carried out seconds later, after the release; such a
-reservation is released again until none can be left.
+A prompt that exceeds the memory of one engine is held by several. A reservation
+expires after a short time and is renewed while it is used, so that the memory reserved
+by a daemon that is killed becomes free soon. An order without an answer may still be
+executed seconds later, even after the release of the same reservation. The release of
+such a reservation is therefore repeated until a late order can no longer follow.
 """
 
 import asyncio
@@ -24,20 +24,22 @@
 
 __all__ = ["Reservation", "Reservations"]
 
-# How long memory stays reserved for a daemon that died, as a share of the time after
-# which it must be free again: the rest is room for a slow link.
+# Lifetime of a reservation, as a share of the time within which memory must be free
+# after its last use. The rest allows for the time that an order takes on a slow link.
 HOLD_SHARE = 0.75
-# A reservation is renewed after this share of it: two renewals may fail before it ends.
+# Interval between renewals, as a share of the lifetime: two renewals may fail before a
+# reservation expires.
 RENEW_SHARE = 0.3
-# An endpoint answers an order at once; one that doesn't is worth no wait.
-ORDER_SECONDS = 0.5
-# When a release is repeated after an order without an answer: endpoints have been
-# seen to carry such an order out up to twelve seconds later.
+# Timeout of an order, in seconds. Endpoints answer orders at once, so waiting longer
+# would not help.
+ORDER_TIMEOUT_SECONDS = 0.5
+# When a release is repeated if an order got no answer, in seconds after the first
+# release. Endpoints were seen to execute such an order up to 12 seconds later.
 REPEAT_RELEASE_SECONDS = (0.3, 1.5, 3.0, 6.0, 9.0, 12.0)
 
 
 class Reservation(NamedTuple):
-    """Memory at one endpoint under an id that is never used again."""
+    """Memory at one endpoint, in tokens, under an id that is used only once."""
 
     endpoint_id: str
     address: str
@@ -48,7 +50,8 @@
 class Reservations:
     """The reservations of one request.
 
-    ``free_seconds`` is how soon memory must be free after its last use.
+    ``wanted`` lists the endpoints with their address and the tokens to reserve.
+    ``free_seconds`` is the longest time until memory must be free after its last use.
 
     >>> held = Reservations([(endpoint_id, address, tokens)], 4.0, log)
     >>> await held.acquire()
@@ -69,15 +72,19 @@
             Reservation(endpoint_id, address, f"{name}-{index}", tokens)
             for index, (endpoint_id, address, tokens) in enumerate(wanted)
         ]
-        self._unanswered: set[str] = set()
+        self._unanswered_ids: set[str] = set()
         self._renewals: asyncio.Task | None = None
 
     async def acquire(self) -> None:
-        """Reserve everywhere; raises `EndpointRefused` if one has no memory."""
+        """Reserve the memory at all endpoints and renew it until `release`.
+
+        Raises `EndpointRefused` with the address of the endpoint at fault if one has
+        not enough memory or does not answer.
+        """
         if not self.held:
             return
-        taken = await asyncio.gather(*(self._reserve(each) for each in self.held))
-        for reservation, ok in zip(self.held, taken, strict=True):
+        reserved = await asyncio.gather(*(self._reserve(each) for each in self.held))
+        for reservation, ok in zip(self.held, reserved, strict=True):
             if not ok:
                 raise EndpointRefused(
                     f"no memory at helper {reservation.endpoint_id}",
@@ -87,13 +94,13 @@
         self._renewals = self._loop.create_task(self._renew())
 
     def release(self) -> None:
-        """Give everything back, in the background."""
+        """Release all reservations in background tasks."""
         if self._renewals is not None:
             self._renewals.cancel()
         for reservation in self.held:
             task = self._loop.create_task(self._release(reservation))
-            _background.add(task)
-            task.add_done_callback(_background.discard)
+            _release_tasks.add(task)
+            task.add_done_callback(_release_tasks.discard)
 
     async def _renew(self) -> None:
         while True:
@@ -101,18 +108,19 @@
             await asyncio.gather(*(self._reserve(each) for each in self.held))
 
     async def _reserve(self, reservation: Reservation) -> bool:
+        """Reserve or renew, and return whether the endpoint agreed."""
         body = encode_reserve(
             reservation.reservation_id, reservation.tokens, self._hold_seconds
         )
         status = await self._order(reservation, body)
         if status == 0:
-            self._unanswered.add(reservation.reservation_id)
+            self._unanswered_ids.add(reservation.reservation_id)
         return status == 200
 
     async def _release(self, reservation: Reservation) -> None:
         body = encode_release(reservation.reservation_id)
         status = await self._order(reservation, body)
-        if status and reservation.reservation_id not in self._unanswered:
+        if status and reservation.reservation_id not in self._unanswered_ids:
             return
         waited = 0.0
         for moment in REPEAT_RELEASE_SECONDS:
@@ -121,15 +129,15 @@
             await self._order(reservation, body)
 
     async def _order(self, reservation: Reservation, body: bytes) -> int:
-        """Give an order and return its status, 0 without an answer."""
+        """Send an order and return the HTTP status, 0 if there was no answer."""
         headers = [
             (b"Host", reservation.address.encode()),
             (b"Content-Type", b"application/json"),
         ]
         try:
-            async with asyncio.timeout(ORDER_SECONDS):
+            async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
                 async with EndpointConnection(reservation.address) as connection:
-                    await connection.open(ORDER_SECONDS)
+                    await connection.open(ORDER_TIMEOUT_SECONDS)
                     await connection.send(b"POST", ORDER_TARGET, headers, body)
                     return (await connection.read_head()).status
         except (CranberrywickError, TimeoutError) as error:
@@ -142,5 +150,6 @@
             return 0
 
 
-# Releases go on after their request has ended; the loop keeps no strong reference.
-_background: set[asyncio.Task] = set()
+# The tasks of releases, which outlive their request. The event loop keeps only weak
+# references to tasks, so without this set they could be garbage collected.
+_release_tasks: set[asyncio.Task] = set()
