--- a/cranberrywick/gateway/events.py
+++ b/cranberrywick/gateway/events.py
@@ -1,17 +1,17 @@
-"""Server-sent events, split so that only whole ones go on."""
+"""A splitter for server-sent events: only complete events are forwarded."""
 
 __all__ = ["EventSplitter"]
 
-# A stream of this many bytes without an end of an event is none.
+# Longest event, in bytes; more without the end of an event is not an event stream.
 MAX_EVENT_BYTES = 1 << 20
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole events and remembers the last event's id.
+    """Splits a byte stream into complete events and keeps the last event's id.
 
-    An endpoint may break off in the middle of an event. What has been passed on must
-    end with a whole one, or the events of the next endpoint would be joined to half
-    of an old one.
+    An endpoint may stop in the middle of an event, and another one then continues the
+    stream. What the caller was sent must end with a complete event, or the first event
+    of the second endpoint would be appended to an incomplete one.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
@@ -25,30 +25,30 @@
         self.last_id: str | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and return the whole events among all that is held."""
-        held = self._rest + data
-        end = max(_end_after(held, b"\n\n"), _end_after(held, b"\r\n\r\n"))
-        whole, self._rest = held[:end], held[end:]
+        """Add bytes and return the complete events among those not returned before."""
+        buffered = self._rest + data
+        end = max(_end_of_last(buffered, b"\n\n"), _end_of_last(buffered, b"\r\n\r\n"))
+        whole, self._rest = buffered[:end], buffered[end:]
         if whole:
-            self._record(whole)
+            self._record_last_id(whole)
         return whole
 
     @property
     def is_too_long(self) -> bool:
-        """Whether more is held than any event has."""
+        """Whether the incomplete event is longer than `MAX_EVENT_BYTES`."""
         return len(self._rest) > MAX_EVENT_BYTES
 
     def flush(self) -> bytes:
-        """Return what is left after the end of the stream."""
+        """Return and drop the bytes left over at the end of the stream."""
         rest, self._rest = self._rest, b""
         return rest
 
-    def _record(self, whole: bytes) -> None:
+    def _record_last_id(self, whole: bytes) -> None:
         for line in whole.splitlines():
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
 
 
-def _end_after(data: bytes, mark: bytes) -> int:
-    index = data.rfind(mark)
-    return index + len(mark) if index >= 0 else 0
+def _end_of_last(data: bytes, separator: bytes) -> int:
+    index = data.rfind(separator)
+    return index + len(separator) if index >= 0 else 0
--- a/cranberrywick/gateway/observations.py
+++ b/cranberrywick/gateway/observations.py
@@ -1,4 +1,4 @@
-"""What answers show of the endpoints that give them: their pace and their limits."""
+"""Slowdowns and rate limits of endpoints, as observed in their answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class EndpointObservations:
-    """Takes what attempts show, and tells it the other daemons."""
+    """Records what attempts show about endpoints, and sends updates of it to peers."""
 
     def __init__(self, state: FleetState, metrics: LazyMetrics, log: EventLog):
         self._state = state
@@ -24,7 +24,11 @@
         self._loop = asyncio.get_running_loop()
 
     def record_head(self, exchange: Exchange, status: int, meta: ResponseMeta) -> None:
-        """Note the limit that an answer names, or that it names none any more."""
+        """Record the rate limit that an answer names, or that it names none any more.
+
+        The decoded limit is in requests per second, infinite where there is none, and
+        None if the answer says nothing about limits.
+        """
         if meta.rate_limit is None:
             return
         if isfinite(meta.rate_limit):
@@ -44,13 +48,17 @@
         )
 
     def pause_recorder(self, exchange: Exchange) -> Callable[[str, float], None]:
-        """Return what takes the pauses of an attempt's stream."""
+        """Return the callback that records the pauses of an attempt's stream.
+
+        It is called with the endpoint's id and a pause, in seconds.
+        """
         profile = exchange.service.engine
         declared = profile.stride * profile.step_seconds if profile else 0.0
         pauses = StreamPauses(declared)
 
         def record(endpoint_id: str, seconds: float) -> None:
-            # What the engine is known to read meanwhile says nothing of its pace.
+            # The prefill that the engine is known to have to do also lengthens the
+            # pause, but does not show that the engine is slow.
             slowdown = pauses.record(
                 seconds - self._state.load.prefill_seconds_at(endpoint_id)
             )
@@ -74,12 +82,12 @@
         )
 
     def record_call_end(self, exchange: Exchange) -> None:
-        """Note an endpoint as slow whose call alone took longer than its target."""
+        """Record an endpoint as slow if a plain call took longer than its target."""
         if exchange.is_stream:
             return
         seconds = self._loop.time() - exchange.sent_at
         slowdown = call_slowdown(seconds, exchange.route.target_seconds)
-        # One within its target says nothing: calls differ, and a short one is quick at
-        # a slow endpoint too.
+        # A call within its target shows nothing: calls differ, and a short one is fast
+        # at a slow endpoint too.
         if slowdown > 1:
             self._record_slowdown(exchange, exchange.endpoint_id, slowdown)
