--- a/cranberrywick/gateway/app.py
+++ b/cranberrywick/gateway/app.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: every part, joined, from start to a graceful stop."""
+"""The gateway daemon: its components, its start and its graceful stop."""
 
 import asyncio
 import contextlib
@@ -23,19 +23,25 @@
 
 __all__ = ["Gateway", "run_gateway"]
 
-# Callers keep an answer of the directory three times as long as it says, and some
-# have connections under way: until then, a stopping daemon serves on.
+# Shortest time for which a stopping daemon goes on serving, in seconds. Some callers
+# use an answer of the directory three times as long as it says, and some are just
+# connecting.
 LEAVE_SECONDS = 3 * ANSWER_SECONDS + 0.2
-# Kept back from the time that a stop may take, for closing.
+# Part of the time allowed for a stop that is left for closing, in seconds.
 STOP_MARGIN_SECONDS = 0.4
-IDLE_LOOK_SECONDS = 0.02
-# How often outcomes of endpoints that are gone are dropped: much longer than one that
-# flaps is away, so that it comes back with what is held against it.
+# Interval at which a stopping daemon checks whether requests are left, in seconds.
+IDLE_POLL_SECONDS = 0.02
+# Interval at which the health and rate limits of removed endpoints are dropped, in
+# seconds. It is much longer than the absence of an endpoint that is removed and added
+# again and again, so that such an endpoint returns with its recorded failures.
 FORGET_SECONDS = 30.0
 
 
 class Gateway:
-    """One daemon of the fleet."""
+    """One daemon of the fleet.
+
+    ``state`` is what the daemon knows of the fleet.
+    """
 
     def __init__(self, settings: GatewaySettings, log: EventLog):
         self._settings = settings
@@ -63,20 +69,24 @@
         forwarder = Forwarder(
             settings, self.state, self._waiting, health, self._metrics, log
         )
-        self._ingress = Ingress(forwarder, self._limits)
-        self._others = [
+        self._ingress = Ingress(forwarder, self._request_limits)
+        self._internal_ingresses = [
             (settings.directory_address, Ingress(self._answer_directory)),
             (settings.ready_address, Ingress(self._answer_ready)),
             (settings.metrics_address, Ingress(self._answer_metrics)),
         ]
         self._stopping = asyncio.Event()
 
-    def _limits(self):
+    def _request_limits(self):
+        """Return the configured limits of requests, None before a configuration."""
         table = self.state.table
         return table.configuration.limits if table else None
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then stop without cutting a request."""
+        """Serve until SIGTERM or SIGINT, then stop.
+
+        Requests that are being served may end first, within the grace period.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
@@ -86,28 +96,35 @@
         await self._drain()
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start to read the store and to listen on all configured addresses.
+
+        Raises `OSError` if an address can't be used.
+        """
         await self.state.start()
         if self._settings.entry_address:
             await self._ingress.start(self._settings.entry_address)
-        for address, ingress in self._others:
+        for address, ingress in self._internal_ingresses:
             if address:
                 await ingress.start(address)
         self._ticker.every(FORGET_SECONDS, self._forget_gone)
         self._log.info("gateway_started", address=self._settings.entry_address)
 
     def _forget_gone(self) -> None:
-        """Drop what is known of endpoints that are gone, or it grows for ever."""
+        """Drop the state of removed endpoints, which would grow without bound."""
         registered_ids = self.state.registry.tracked_by_id.keys()
         self._health.keep_only(registered_ids)
         now = asyncio.get_running_loop().time()
         self.state.peer_updates.limits.forget(registered_ids, now)
 
     def _reload(self) -> None:
-        """Note a reload: all that changes while a daemon runs lies in the store."""
+        """Log that SIGHUP has no effect.
+
+        Everything that can change while a daemon runs is read from the store.
+        """
         self._log.info("settings_reload_asked", effect="none")
 
     async def _drain(self) -> None:
+        """Leave the directory, serve until no request is left, and close."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         grace = self._settings.bounds.grace_seconds - STOP_MARGIN_SECONDS
@@ -118,7 +135,7 @@
             waited = loop.time() - started
             if waited >= LEAVE_SECONDS and not self._ingress.busy:
                 break
-            await asyncio.sleep(IDLE_LOOK_SECONDS)
+            await asyncio.sleep(IDLE_POLL_SECONDS)
         self._log.info("gateway_stopped", busy=self._ingress.busy)
         self._ingress.close()
         self._ticker.stop()
@@ -160,7 +177,11 @@
 
 
 def run_gateway(settings_path: str | None = None) -> None:
-    """Run the daemon; raises `InvalidSettings`."""
+    """Run the daemon until it is told to stop by a signal.
+
+    ``settings_path`` is the settings file. Raises `InvalidSettings` if it can't be
+    used.
+    """
     settings = load_settings(settings_path)
     log = EventLog(daemon=settings.daemon_id)
     asyncio.run(_run(settings, log))
