--- a/cranberrywick/gateway/lazy_metrics.py
+++ b/cranberrywick/gateway/lazy_metrics.py
@@ -1,8 +1,9 @@
 """Metrics of a gateway, whose library is loaded when they are first read.
 
-Load pattern: all daemons lose power at once, and until the first has started again
-callers find nobody. Loading the metrics library is a quarter of a start, and nobody
-reads metrics in its first second. Until then notes wait here.
+Load pattern: all daemons lose power at once, and until the first has started again no
+caller is served. Loading the metrics library takes a quarter of a daemon's start, and
+metrics are not read in its first second. Measurements are kept here until the library
+is loaded.
 """
 
 import asyncio
@@ -15,20 +16,22 @@
 
 __all__ = ["LazyMetrics", "Rendered"]
 
-# Notes that wait; with so many the library is loaded though nobody reads. Some hundred
-# bytes each.
+# Most measurements that are kept, of some hundred bytes each. At this number the
+# library is loaded even if the metrics are not read.
 MAX_PENDING = 2_000
 
 
 class Rendered(NamedTuple):
-    """Metrics as text, and the type of that."""
+    """Metrics as text, and the value of its Content-Type header."""
 
     body: bytes
     content_type: str
 
 
 class LazyMetrics:
-    """Takes what `Metrics` takes, on the event loop, and passes it on later.
+    """Records what `Metrics` records; keeps it until the library is loaded.
+
+    Its methods are called on the event loop.
 
     >>> metrics = LazyMetrics("e1")
     >>> metrics.queue_wait("grants", 0.02)
@@ -47,11 +50,11 @@
         self._record(methodcaller("request_ended", class_name, outcome, seconds))
 
     def first_token(self, class_name: str, prompt_tokens: int, seconds: float) -> None:
-        """Note the time from arrival to the first token."""
+        """Record the time from arrival to the first token, in seconds."""
         self._record(methodcaller("first_token", class_name, prompt_tokens, seconds))
 
     def queue_wait(self, class_name: str, seconds: float) -> None:
-        """Note how long a request waited before it was sent or refused."""
+        """Record the time, in seconds, until a request was sent or refused."""
         self._record(methodcaller("queue_wait", class_name, seconds))
 
     def limit_named(self, class_name: str) -> None:
@@ -59,40 +62,40 @@
         self._record(methodcaller("limit_named", class_name))
 
     def permit_asked(self, class_name: str, granted: bool, seconds: float) -> None:
-        """Note a request that needed a permit, and how long it waited for it."""
+        """Record a request that needed a permit, and its wait for that, in seconds."""
         self._record(methodcaller("permit_asked", class_name, granted, seconds))
 
     async def render(self) -> Rendered:
-        """Return all that was noted."""
-        metrics = await self._load()
+        """Return all metrics as text, after loading the library if necessary."""
+        metrics = await self._start_loading()
         return Rendered(metrics.render(), metrics.content_type)
 
-    def _record(self, note: Callable[["Metrics"], None]) -> None:
+    def _record(self, recording: Callable[["Metrics"], None]) -> None:
         if self._metrics is not None:
-            note(self._metrics)
+            recording(self._metrics)
             return
-        self._pending.append(note)
+        self._pending.append(recording)
         if len(self._pending) >= MAX_PENDING:
-            self._load()
+            self._start_loading()
 
-    def _load(self) -> asyncio.Task["Metrics"]:
-        """Return what loads the library; it is loaded once."""
+    def _start_loading(self) -> asyncio.Task["Metrics"]:
+        """Return the task that loads the library; it is started once."""
         if self._loading is None:
             loop = asyncio.get_running_loop()
-            self._loading = loop.create_task(self._make())
+            self._loading = loop.create_task(self._create_metrics())
         return self._loading
 
-    async def _make(self) -> "Metrics":
-        # On a thread of its own: requests go on meanwhile.
+    async def _create_metrics(self) -> "Metrics":
+        # In another thread, so that the event loop goes on serving requests.
         metrics = await asyncio.to_thread(_import_metrics, self._daemon_id)
-        for note in self._pending:
-            note(metrics)
+        for recording in self._pending:
+            recording(metrics)
         self._pending.clear()
         self._metrics = metrics
         return metrics
 
 
 def _import_metrics(daemon_id: str) -> "Metrics":
-    from cranberrywick.metrics import Metrics  # Late: see above.
+    from cranberrywick.metrics import Metrics  # Loaded late: see the module's head.
 
     return Metrics(daemon_id)
