--- a/cranberrywick/gateway/log_output.py
+++ b/cranberrywick/gateway/log_output.py
@@ -1,9 +1,9 @@
-"""Log lines on standard output that never hold the daemon up.
+"""Log lines on standard output, written without blocking the daemon.
 
-A reader of our output that stops reading fills the pipe, and the next write blocks
-the event loop with every request on it. Lines go through a bounded queue to a thread
-of their own; what does not fit is dropped and counted, and the count is written when
-there is room again.
+If the reader of the daemon's output stops reading, the pipe fills, and a write would
+block the event loop and with it every request. Lines are therefore put in a bounded
+queue, from which a separate thread writes them. Lines that do not fit are dropped and
+counted, and their count is written once there is room again.
 """
 
 import queue
@@ -12,12 +12,13 @@
 
 __all__ = ["BoundedOutput"]
 
-# Some seconds of lines at a daemon's highest rate; a line has at most some 600 bytes.
+# Length of the queue, in lines: those of some seconds at a daemon's highest rate. A
+# line has at most about 600 bytes.
 MAX_LINES = 4000
 
 
 class BoundedOutput:
-    """A text stream whose `write` never waits."""
+    """A text stream whose `write` never blocks; ``stream`` gets the text."""
 
     def __init__(self, stream: TextIO):
         self._stream = stream
@@ -27,7 +28,10 @@
         thread.start()
 
     def write(self, text: str) -> int:
-        """Take text to be written."""
+        """Queue text, or drop it if the queue is full; return its length.
+
+        The length is returned in both cases, as for any text stream.
+        """
         try:
             self._lines.put_nowait(text)
         except queue.Full:
@@ -35,7 +39,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: the thread flushes."""
+        """Do nothing: the thread flushes whenever the queue is empty."""
 
     def _run(self) -> None:
         while True:
@@ -48,5 +52,5 @@
                 if self._lines.empty():
                     self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads any more; there is no other place to say so.
+                # The output is closed, and there is nowhere else to report it.
                 return
--- a/cranberrywick/gateway/throttled_log.py
+++ b/cranberrywick/gateway/throttled_log.py
@@ -1,4 +1,4 @@
-"""Warnings of what may happen with every datagram."""
+"""Warnings, limited in rate, for events that any datagram may cause."""
 
 from collections.abc import Callable
 
@@ -6,15 +6,15 @@
 
 __all__ = ["ThrottledLog"]
 
-# One line in so many seconds.
-PAUSE_SECONDS = 10.0
+# Shortest time between two lines, in seconds.
+INTERVAL_SECONDS = 10.0
 
 
 class ThrottledLog:
-    """Writes a warning at most now and then, with how many there were since the last.
+    """Logs at most one warning per interval, with the number of events since the last.
 
-    A peer that sends what can't be read does so many times a second: a line for each
-    would drown all others.
+    A peer whose messages can't be decoded sends many of them each second. With a line
+    for each, the log would hold little else. ``clock`` returns a time in seconds.
 
     >>> invalid = ThrottledLog(log, loop.time)
     >>> invalid.warning("peer_message_invalid", error=error)
@@ -23,14 +23,14 @@
     def __init__(self, log: EventLog, clock: Callable[[], float]):
         self._log = log
         self._clock = clock
-        self._not_before = float("-inf")
+        self._next_line_at = float("-inf")
         self._count = 0
 
     def warning(self, event: str, /, **fields: object) -> None:
-        """Note what happened, and log it if nothing was logged lately."""
+        """Count an event, and log the count unless a line was logged lately."""
         self._count += 1
         now = self._clock()
-        if now >= self._not_before:
-            self._not_before = now + PAUSE_SECONDS
+        if now >= self._next_line_at:
+            self._next_line_at = now + INTERVAL_SECONDS
             self._log.warning(event, count=self._count, **fields)
             self._count = 0
