--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -1,10 +1,11 @@
-"""A fleet of real gateway processes before stand-ins of the platform, for tests.
+"""A fleet of real gateway processes with a simulated platform, for tests.
 
     with running_gateways(tmp_path) as fleet:
         fleet.call(fleet.gateways[0], "GET", "/reads/1")
 
-The stand-ins run on an event loop of their own thread; `Fleet.on_loop` runs a
-function there. The gateways are processes, as on the platform.
+The stand-ins of the store and the endpoints run on an event loop in a thread of
+their own; `Fleet.on_loop` runs a function there. The gateways are processes, as on
+the platform.
 """
 
 import asyncio
@@ -30,13 +31,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 HOST = "shop.example"
 KEY = "a-key"
-# Generous, for the machine may be busy.
+# Longest wait for a condition or an answer, in seconds: the machine may be busy.
 WAIT_SECONDS = 30.0
 POLL_SECONDS = 0.02
 
 
 def route(name: str, kind: str, service: str, **fields: object) -> dict:
-    """Return a route of the operators' configuration."""
+    """Return a route for the operators' configuration."""
     return {
         "name": name,
         "host": HOST,
@@ -53,7 +54,7 @@
 
 
 def configuration(version: int = 1, **fields: object) -> dict:
-    """Return an operators' configuration with one route of each kind."""
+    """Return a configuration document with one route of each kind."""
     stream = {"streamResume": True, "gapAimMs": 250, "stickySessions": True}
     return {
         "version": version,
@@ -78,7 +79,7 @@
 
 
 class Gateway(NamedTuple):
-    """One gateway process and its addresses."""
+    """One gateway process, its settings and its log file."""
 
     name: str
     process: subprocess.Popen
@@ -103,7 +104,10 @@
 
 
 class Answer(NamedTuple):
-    """What a caller has received; ``whole`` is False for one that broke off."""
+    """What a caller received; ``whole`` is False if the connection ended too early.
+
+    The status is 0 if it ended within the head.
+    """
 
     status: int
     headers: dict[str, str]
@@ -112,7 +116,7 @@
 
 
 class Fleet:
-    """The running fleet; see the module."""
+    """The running fleet: the store, the endpoints and the gateways."""
 
     def __init__(self, path: Path):
         self.path = path
@@ -153,7 +157,7 @@
     def register(
         self, endpoint_id: str, service: str, zone: str = "a", **fields: object
     ) -> None:
-        """Write an endpoint's record."""
+        """Write an endpoint's record to the store."""
         record = {
             "service": service,
             "address": self.endpoints[endpoint_id].address,
@@ -169,13 +173,16 @@
         self.on_loop(self.store.put_json, f"servers/{endpoint_id}", record)
 
     def configure(self, fields: dict) -> None:
-        """Write the operators' configuration."""
+        """Write the operators' configuration to the store."""
         self.on_loop(self.store.put_json, "op/config", fields)
 
     def start_gateway(
         self, name: str, wait: bool = True, store_mode: str = "open"
     ) -> Gateway:
-        """Start a gateway process with a store address of its own."""
+        """Start a gateway process with a store address of its own.
+
+        ``store_mode`` is how the store treats this gateway, as in `modes_by_door`.
+        """
         door = self.await_on_loop(self.store.add_door(name))
         self.store.modes_by_door[name] = store_mode
         settings = gateway_settings(name, self._ip(name), door)
@@ -190,21 +197,21 @@
         return gateway
 
     def restart(self, gateway: Gateway) -> Gateway:
-        """Start a gateway that has ended again, with its settings."""
+        """Start a gateway that has ended again, with the same settings."""
         path = self.path / f"{gateway.name}.json"
         return gateway._replace(process=start_process(path, gateway.log_path))
 
     def _ip(self, name: str) -> str:
-        # All gateways share their ports, as the machines of the platform do, so
-        # each needs an address of its own on the loopback network.
+        # All gateways use the same ports, as on the VMs of the platform, so each
+        # needs an address of its own on the loopback network.
         return f"127.{self._subnet}.{os.getpid() % 200 + 1}.{len(self.gateways) + 2}"
 
     def wait_ready(self, gateway: Gateway) -> None:
-        """Wait until the gateway says that it is ready."""
+        """Wait until the gateway answers that it is ready."""
         wait_for(lambda: self.is_ready(gateway), f"{gateway.name} to be ready")
 
     def is_ready(self, gateway: Gateway) -> bool:
-        """Ask the gateway whether it is ready."""
+        """Whether the gateway answers that it is ready."""
         try:
             url = f"http://{gateway.ready}/ready"
             return urllib3.request("GET", url, retries=False).status == 200
@@ -212,7 +219,7 @@
             return False
 
     def addresses(self, gateway: Gateway) -> list[str]:
-        """Ask a gateway's directory which addresses callers should use."""
+        """Return the callers' addresses that a gateway's directory lists."""
         url = f"http://{gateway.directory}/resolve?name={HOST}&region=r&zone=a"
         return urllib3.request("GET", url, retries=False).json()["addresses"]
 
@@ -230,7 +237,7 @@
         request_id: str | None = None,
         timeout: float = WAIT_SECONDS,
     ) -> Answer:
-        """Send one request on a connection of its own."""
+        """Send one request on a new connection and return the answer."""
         with self.connect(gateway) as connection:
             request_id = request_id or self.new_id()
             connection.sendall(
@@ -240,16 +247,16 @@
             return read_answer(connection)
 
     def connect(self, gateway: Gateway) -> socket.socket:
-        """Open a connection to a gateway's callers' address."""
+        """Open a connection to the address of a gateway for callers."""
         host, _, port = gateway.front.rpartition(":")
         return socket.create_connection((host, int(port)), WAIT_SECONDS)
 
     def runs(self, request_id: str) -> int:
-        """Return how often endpoints ran a request."""
+        """Return how many times endpoints ran a request."""
         return sum(endpoint.runs[request_id] for endpoint in self.endpoints.values())
 
     def close(self) -> None:
-        """End every process and the loop."""
+        """Kill the gateway processes and stop the event loop."""
         for gateway in self.gateways:
             gateway.process.kill()
             gateway.process.wait()
@@ -258,7 +265,7 @@
 
 
 def start_process(settings: Path, log: Path) -> subprocess.Popen:
-    """Start a gateway process."""
+    """Start a gateway process, its output appended to ``log``."""
     return subprocess.Popen(
         [sys.executable, "-m", "cranberrywick", "gateway"],
         cwd=ROOT,
@@ -346,7 +353,7 @@
 
 
 def read_answer(connection: socket.socket) -> Answer:
-    """Read one answer by its framing, and say whether it came whole."""
+    """Read one answer by its framing, also one that ends too early."""
     data = b""
     while b"\r\n\r\n" not in data:
         part = connection.recv(65536)
@@ -397,7 +404,7 @@
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    """Wait until a condition holds."""
+    """Wait until a condition holds; fails with ``what`` after `WAIT_SECONDS`."""
     deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
         assert time.monotonic() < deadline, f"waited in vain for {what}"
@@ -406,7 +413,7 @@
 
 @contextmanager
 def running_gateways(path: Path, gateways: int = 1) -> Iterator[Fleet]:
-    """Run a configured fleet: two endpoints of each service, some gateways."""
+    """Run a configured fleet of two endpoints of each service and ``gateways``."""
     fleet = Fleet(path)
     try:
         fleet.configure(configuration())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway on real processes: what callers and endpoints see."""
+"""Tests of real gateway processes: what callers and endpoints receive."""
 
 import signal
 import time
@@ -28,12 +28,13 @@
 
 
 @pytest.fixture(autouse=True)
-def all_well(fleet):
+def reset_endpoints(fleet):
     yield
     for endpoint in fleet.endpoints.values():
         endpoint.behaviour = "well"
         endpoint.work_seconds = 0.005
-    # Endpoints that failed rest for some seconds; the next test starts without.
+    # Endpoints that failed get no requests for some seconds. The next test must start
+    # with all of them in use.
     wait_for(
         lambda: all(
             fleet.call(gateway, "GET", "/reads/after").status == 200
@@ -48,15 +49,15 @@
         fleet.endpoints[endpoint_id].behaviour = behaviour
 
 
-def ended_line(gateway, request_id):
-    """Return the line that a gateway logs at a request's end, empty before it."""
+def end_line(gateway, request_id):
+    """Return the last log line of a request, empty until it has been written."""
     for line in gateway.log.splitlines():
         if "event=request_ended" in line and f"request_id={request_id} " in line:
             return line
     return ""
 
 
-def desks(fleet, behaviour):
+def set_desks(fleet, behaviour):
     set_behaviour(fleet, behaviour, "desk-1", "desk-2")
 
 
@@ -94,7 +95,7 @@
         ]
         assert bodies == [b"abcde"]
 
-    def test_a_callers_own_organisation_is_not_believed(self, fleet):
+    def test_an_organisation_set_by_the_caller_is_replaced(self, fleet):
         request_id = fleet.new_id()
         headers = {"Cranberrywick-Tenant": "someone-else"}
         fleet.call(
@@ -133,7 +134,7 @@
             ("/reads/1", {"X-Long": "x" * 8000}, 431),
         ],
     )
-    def test_what_is_not_allowed_reaches_no_endpoint(
+    def test_a_request_that_is_not_allowed_reaches_no_endpoint(
         self, fleet, target, headers, status
     ):
         request_id = fleet.new_id()
@@ -147,7 +148,7 @@
         answer = fleet.call(fleet.gateways[0], "POST", "/books/1", b"x" * 200_000)
         assert answer.status == 413
 
-    def test_bytes_that_are_no_request_are_answered_400(self, fleet):
+    def test_bytes_that_are_not_a_request_are_answered_400(self, fleet):
         with fleet.connect(fleet.gateways[0]) as connection:
             connection.sendall(b"no request\r\n\r\n")
             assert read_answer(connection).status == 400
@@ -160,12 +161,13 @@
 
 class TestAtMostOnce:
     def test_a_reset_after_the_run_is_not_repeated(self, fleet):
-        """The caller sees 502 and knows that its booking may have been made.
+        """Guards against bookings that are made twice.
 
-        The endpoint runs the booking and resets the connection. Sent again, the
-        booking would be made twice; answered 503, the caller would send it again.
+        The endpoint runs the booking and then resets the connection. If the gateway
+        sent it again, it would be made twice; if it answered 503, the caller would
+        send it again. The answer must be 502: the booking may have been made.
         """
-        desks(fleet, "reset")
+        set_desks(fleet, "reset")
         request_id = fleet.new_id()
         answer = fleet.call(
             fleet.gateways[0], "POST", "/books/1", b"x", request_id=request_id
@@ -174,20 +176,22 @@
         assert fleet.runs(request_id) == 1
 
     def test_a_read_is_sent_to_another_endpoint(self, fleet):
-        """The caller sees its answer, though the first endpoint broke the connection.
+        """Guards against reads that fail because one endpoint does.
 
-        A read may run twice, so its failure at one endpoint is no reason to fail.
+        One endpoint resets the connection. A read may run twice, so it is sent to the
+        other endpoint.
         """
         set_behaviour(fleet, "reset", "desk-1")
         for _ in range(4):
             assert fleet.call(fleet.gateways[0], "GET", "/reads/1").status == 200
 
-    def test_full_endpoints_end_in_a_promise_that_is_true(self, fleet):
-        """The caller sees 503 with a time to come back, and nothing has run.
+    def test_full_endpoints_are_answered_503_and_nothing_runs(self, fleet):
+        """Guards against answers that leave open whether a refused request ran.
 
-        Both endpoints refuse. What they say of not having run may be passed on.
+        Both endpoints answer that they have not run the request. The caller gets 503
+        with Retry-After, which says the same.
         """
-        desks(fleet, "full")
+        set_desks(fleet, "full")
         request_id = fleet.new_id()
         answer = fleet.call(
             fleet.gateways[0], "POST", "/books/1", b"x", request_id=request_id
@@ -196,12 +200,13 @@
         assert float(answer.headers["retry-after"]) > 0
         assert fleet.runs(request_id) == 0
 
-    def test_a_hung_booking_ends_with_its_time_and_no_promise(self, fleet):
-        """The caller sees 504 when its time is over, not later.
+    def test_a_booking_at_a_hung_endpoint_is_answered_504_at_its_deadline(self, fleet):
+        """Guards against callers that wait longer than their deadline.
 
-        The endpoint has the booking and stays silent: whether it runs is unknown.
+        The endpoint has received the booking and does not answer, so it is unknown
+        whether the booking was made: the caller gets 504.
         """
-        desks(fleet, "hang")
+        set_desks(fleet, "hang")
         started = time.monotonic()
         answer = fleet.call(
             fleet.gateways[0],
@@ -214,39 +219,39 @@
         assert 0.5 < time.monotonic() - started < 2.0
 
     def test_the_log_names_the_endpoint_at_which_a_request_timed_out(self, fleet):
-        """Operators find from a request's id where it hung.
+        """Operators can find the endpoint at which a request hung by its request id.
 
-        The endpoint never answers, so nothing but the gateway's own line can say.
+        The endpoint never answers, so only the gateway's log line can name it.
         """
-        desks(fleet, "hang")
+        set_desks(fleet, "hang")
         request_id = fleet.new_id()
         headers = {"Cranberrywick-Deadline-Ms": "700"}
         gateway = fleet.gateways[0]
         fleet.call(gateway, "POST", "/books/1", b"x", headers, request_id)
-        wait_for(lambda: ended_line(gateway, request_id), "the request's line")
-        assert "endpoint=desk" in ended_line(gateway, request_id)
+        wait_for(lambda: end_line(gateway, request_id), "the request's line")
+        assert "endpoint=desk" in end_line(gateway, request_id)
 
 
 class TestAnswers:
     @pytest.mark.parametrize("behaviour", ["other", "short", "noise"])
-    def test_what_is_not_the_answer_never_reaches_the_caller(self, fleet, behaviour):
-        """The caller sees a failure and never bytes that are not its answer.
+    def test_an_invalid_answer_never_reaches_the_caller(self, fleet, behaviour):
+        """Guards against callers that get bytes which are not their answer.
 
-        Both endpoints answer with another request's id, with fewer bytes than they
-        announce, or with bytes that are no answer at all.
+        Both endpoints answer with another request's id, with fewer bytes than their
+        Content-Length says, or with bytes that are not an HTTP answer.
         """
-        desks(fleet, behaviour)
+        set_desks(fleet, behaviour)
         answer = fleet.call(fleet.gateways[0], "POST", "/books/1", b"x")
         assert answer.status == 502
         assert "cranberrywick-response-seal" not in answer.headers
 
-    def test_a_second_answer_goes_to_nobody(self, fleet):
-        """Each caller sees its own answer, also after one that came twice.
+    def test_a_second_answer_is_never_forwarded(self, fleet):
+        """Guards against a caller that gets the answer to an earlier request.
 
-        An endpoint sends every answer twice. On a kept connection the second one
-        would meet the next request; connections are not kept.
+        Endpoints send every answer twice. On a reused connection the second copy would
+        be read as the answer to the next request; connections are not reused.
         """
-        desks(fleet, "twice")
+        set_desks(fleet, "twice")
         for _ in range(4):
             request_id = fleet.new_id()
             answer = fleet.call(
@@ -255,34 +260,35 @@
             assert answer.body == f"answer to {request_id}".encode()
 
     def test_a_body_without_a_length_gets_one(self, fleet):
-        desks(fleet, "unframed")
+        set_desks(fleet, "unframed")
         answer = fleet.call(fleet.gateways[0], "GET", "/reads/1")
         assert answer.whole and answer.body.startswith(b"answer to ")
 
-    def test_an_endpoints_own_failure_is_passed_on(self, fleet):
-        """The caller sees the endpoint's 500 with its seal, not one of the gateway.
+    def test_an_error_answer_of_an_endpoint_is_forwarded(self, fleet):
+        """Guards against gateway errors that hide the answer of the endpoint.
 
-        Both endpoints run the read and answer 500; neither will do better.
+        Both endpoints run the read and answer 500. The caller gets the endpoint's
+        answer with its seal, as another attempt would not help.
         """
-        desks(fleet, "failing")
+        set_desks(fleet, "failing")
         answer = fleet.call(fleet.gateways[0], "GET", "/reads/1")
         assert answer.status == 500
         assert answer.headers["cranberrywick-response-seal"].startswith("seal.desk")
 
 
 class TestStreams:
-    def test_a_stream_comes_whole(self, fleet):
+    def test_a_stream_is_forwarded_completely(self, fleet):
         answer = fleet.call(
             fleet.gateways[0], "POST", "/prompts/1", b"p", PROMPT_HEADERS
         )
         assert answer.whole and answer.body == STREAM
 
     @pytest.mark.parametrize("engine", ["engine-1", "engine-2"])
-    def test_a_cut_stream_goes_on_elsewhere(self, fleet, engine):
-        """The caller sees one whole stream, no piece missing or twice.
+    def test_an_interrupted_stream_continues_at_another_endpoint(self, fleet, engine):
+        """Guards against events that are missing, repeated or cut in a resumed stream.
 
-        The first engine breaks off in the middle of its fourth event; the other goes
-        on after the third, the last that was passed on whole.
+        The first engine closes in the middle of its fourth event. The other one
+        continues after the third, the last event that was forwarded.
         """
         set_behaviour(fleet, "cut", engine)
         for _ in range(3):
@@ -291,10 +297,11 @@
             )
             assert answer.whole and answer.body == STREAM
 
-    def test_a_stream_that_cannot_go_on_does_not_look_whole(self, fleet):
-        """The caller sees its stream end without the final chunk.
+    def test_a_stream_that_cannot_continue_does_not_look_complete(self, fleet):
+        """Guards against callers that take part of a stream for all of it.
 
-        Both engines break off: what is missing must not look like the end.
+        Both engines close in the middle of the stream. The caller's connection must
+        then close without the final chunk.
         """
         set_behaviour(fleet, "cut", "engine-1", "engine-2")
         answer = fleet.call(
@@ -309,10 +316,10 @@
         ("target", "headers"), [("/books/1", {}), ("/prompts/1", PROMPT_HEADERS)]
     )
     def test_their_work_ends(self, fleet, target, headers):
-        """Nobody works for a caller that has left.
+        """Guards against endpoints that work on answers which nobody will read.
 
-        The caller closes its connection while an endpoint works; the gateway closes
-        its own to the endpoint, which drops the request.
+        The caller closes its connection while an endpoint works. The gateway closes
+        its connection to the endpoint, which then drops the request.
         """
         for endpoint in fleet.endpoints.values():
             endpoint.work_seconds = 5.0
@@ -329,11 +336,11 @@
 
 
 class TestLongPrompts:
-    def test_memory_of_two_engines_is_reserved_and_given_back(self, fleet):
-        """The caller of a prompt above one engine's memory sees its whole answer.
+    def test_memory_of_a_second_engine_is_reserved_and_released(self, fleet):
+        """A prompt that exceeds the memory of one engine is answered.
 
-        Half of the memory is reserved at a second engine for as long as the answer
-        is written, and given back with its end.
+        Half of the memory is reserved at a second engine while the answer is written,
+        and released at its end.
         """
         headers = {**PROMPT_HEADERS, "Cranberrywick-Token-Count": "400000,1000"}
         headers["Cranberrywick-Deadline-Ms"] = "8000"
@@ -349,9 +356,10 @@
         wait_for(lambda: reserved(fleet) == 0, "the memory to be free")
 
     def test_memory_is_free_soon_after_the_caller_has_left(self, fleet):
-        """No engine keeps memory for a caller that has left.
+        """Guards against engines that keep memory for a caller that has left.
 
-        The caller closes while the prompt is read; the reservation is released.
+        The caller closes its connection during the prefill, and the reservation must
+        be released.
         """
         fleet.endpoints["engine-1"].work_seconds = 5.0
         fleet.endpoints["engine-2"].work_seconds = 5.0
@@ -365,12 +373,13 @@
         wait_for(lambda: reserved(fleet) == 0, "the memory to be free")
         assert time.monotonic() - left < 1.0
 
-    def test_a_prompt_goes_on_without_the_helper_that_refuses(self, fleet):
-        """The caller sees its whole answer though one of two engines takes nothing.
+    def test_a_prompt_is_answered_without_the_helper_that_refuses(self, fleet):
+        """Guards against prompts that fail because of one faulty helper.
 
-        The engine that is sound is asked first, names the other as a helper, and
-        refuses for the other's fault. Held against it, the request went to the other
-        one next, was refused there too and had then had all its endpoints.
+        The request is sent to a working engine with the faulty one as its helper, and
+        the working engine refuses it because of the helper. When this was recorded as
+        a failure of the working engine, the request was sent to the faulty one next,
+        refused there too, and had then used all the endpoints that it may be sent to.
         """
         fleet.endpoints["engine-2"].behaviour = "full"
         headers = {**PROMPT_HEADERS, "Cranberrywick-Token-Count": "150000,1000"}
@@ -378,12 +387,13 @@
         for _ in range(6):
             answer = fleet.call(fleet.gateways[0], "POST", "/prompts/1", b"p", headers)
             assert answer.whole and answer.body == STREAM
-            time.sleep(0.6)  # Until the engine at fault has rested.
+            time.sleep(0.6)  # Until the cooldown of the faulty engine is over.
 
     def test_a_prompt_that_never_fits_is_refused_at_once(self, fleet):
-        """The caller sees a refusal at once and does not wait for its deadline.
+        """Guards against callers that wait until their deadline for a certain refusal.
 
-        Two engines hold 600,000 tokens; no wait makes room for a million.
+        The two engines hold 600,000 tokens together, so a prompt of a million never
+        fits.
         """
         headers = {**PROMPT_HEADERS, "Cranberrywick-Token-Count": "1000000,1000"}
         started = time.monotonic()
@@ -397,7 +407,7 @@
 
 
 class TestState:
-    def test_the_directory_names_the_gateways_that_live(self, fleet):
+    def test_the_directory_lists_the_gateways_that_are_alive(self, fleet):
         fronts = sorted(gateway.front for gateway in fleet.gateways)
         for gateway in fleet.gateways:
             wait_for(lambda g=gateway: fleet.addresses(g) == fronts, "both addresses")
@@ -438,17 +448,17 @@
             assert fleet.call(fleet.gateways[0], "GET", "/reads/1").status == 200
 
     @pytest.mark.parametrize("mode", ["busy", "silent", "reset"])
-    def test_a_gateway_that_the_store_turns_away_hears_from_the_other(
+    def test_a_gateway_that_the_store_refuses_gets_updates_from_another(
         self, fleet, mode
     ):
-        """Callers of either gateway see a revoked key refused, and a new one served.
+        """Guards against a gateway that goes on with an old configuration.
 
-        The store turns one gateway away and serves the other, which passes the news
-        on: without that, the first would go by what it knew before.
+        The store refuses one gateway and serves the other, which sends it the new
+        configuration. A revoked key must then be refused and a new one accepted.
         """
         version = {"busy": 20, "silent": 40, "reset": 60}[mode]
-        turned_away = fleet.gateways[0]
-        fleet.store.modes_by_door[turned_away.name] = mode
+        refused = fleet.gateways[0]
+        fleet.store.modes_by_door[refused.name] = mode
         try:
             key = f"key-{version}"
             fleet.configure(
@@ -461,13 +471,13 @@
             headers = {"Authorization": f"Token {key}"}
 
             def call(headers):
-                return fleet.call(turned_away, "GET", "/reads/1", headers=headers)
+                return fleet.call(refused, "GET", "/reads/1", headers=headers)
 
             wait_for(lambda: call(headers).status == 200, "the new key")
             assert call({}).status == 401
             assert time.monotonic() - written < 2.0
         finally:
-            fleet.store.modes_by_door[turned_away.name] = "open"
+            fleet.store.modes_by_door[refused.name] = "open"
             fleet.configure(configuration(version=version + 10))
             wait_for(
                 lambda: all(
@@ -477,12 +487,11 @@
                 "the old key",
             )
 
-    def test_an_endpoint_that_is_leaving_gets_nothing_after_its_last_moment(
-        self, fleet
-    ):
-        """Callers see answers throughout; the leaving endpoint sees none of them.
+    def test_an_endpoint_that_is_leaving_gets_no_requests_after_its_bound(self, fleet):
+        """Guards against requests to an endpoint that may already have stopped.
 
-        An endpoint says that it is draining. Two seconds later it may be gone.
+        An endpoint's record says that it is draining. Two seconds later, the bound in
+        the settings, the endpoint may be gone. Callers get answers throughout.
         """
         fleet.register("desk-1", "desk", state="draining")
         time.sleep(1.5)
@@ -493,7 +502,7 @@
         assert sum(fleet.endpoints["desk-1"].runs.values()) == before
         fleet.register("desk-1", "desk")
 
-    def test_a_failure_domain_that_is_out_gets_nothing(self, fleet):
+    def test_a_failure_domain_that_is_out_gets_no_requests(self, fleet):
         fleet.register("desk-2", "desk", zone="b")
         fleet.on_loop(fleet.store.put_json, "op/evacuate/b", {})
         time.sleep(2.0)
@@ -512,11 +521,12 @@
             "the domain to be used again",
         )
 
-    def test_an_address_taken_over_by_another_endpoint_runs_nothing(self, fleet):
-        """The caller sees its answer, from the endpoint that was meant.
+    def test_an_endpoint_that_took_over_an_address_runs_nothing(self, fleet):
+        """Guards against requests that run at an endpoint they were not sent to.
 
-        A record's address now belongs to another endpoint. The request names whom
-        it means, the other refuses, and the gateway asks the next.
+        The address of a record now belongs to another endpoint. The request names the
+        intended endpoint, so that the other one refuses it, and the gateway sends it
+        to the next.
         """
         fleet.endpoints["desk-1"].endpoint_id = "somebody-else"
         try:
@@ -530,7 +540,7 @@
 
 
 class TestLogs:
-    def test_each_request_has_one_last_line_with_what_decided_it(self, fleet):
+    def test_each_request_has_one_last_line_with_its_outcome(self, fleet):
         request_id = fleet.new_id()
         fleet.call(fleet.gateways[0], "GET", "/reads/1", request_id=request_id)
 
@@ -548,15 +558,16 @@
 
     def test_no_key_is_logged(self, fleet):
         assert "a-key" not in fleet.gateways[0].log
-        assert HOST  # The host is no secret, and is not needed there either.
+        assert HOST  # Not a secret: the log may hold it.
 
 
 class TestStop:
-    def test_a_planned_stop_cuts_no_request(self, tmp_path):
-        """Callers see whole answers while their gateway stops.
+    def test_a_planned_stop_interrupts_no_request(self, tmp_path):
+        """Guards against answers that are cut when a gateway stops.
 
-        A stream runs when SIGTERM comes, and a kept connection sends one more request
-        after it. The gateway leaves the directory at once, serves both and ends.
+        A stream is being sent when SIGTERM comes, and an idle connection sends one more
+        request after it. The gateway leaves the directory at once, serves both and
+        ends.
         """
         with running_gateways(tmp_path, gateways=2) as fleet:
             stopping, other = fleet.gateways
@@ -581,11 +592,11 @@
             assert read_answer(stream).body == STREAM
             assert stopping.process.wait(10) == 0
 
-    def test_a_gateway_without_a_configuration_refuses_and_promises(self, tmp_path):
-        """The caller sees 503 with a time to come back, not 404.
+    def test_a_gateway_without_a_configuration_answers_503(self, tmp_path):
+        """Guards against callers that are told that their route does not exist.
 
-        The gateway has just started and the store turns it away: which routes there
-        are is not known, which is no reason to say that there are none.
+        The gateway has just started and the store refuses it, so the routes are not
+        known. The answer is 503 with Retry-After instead of 404.
         """
         with running_gateways(tmp_path, gateways=0) as fleet:
             gateway = fleet.start_gateway("alone", wait=False, store_mode="busy")
@@ -595,10 +606,10 @@
             assert float(answer.headers["retry-after"]) >= 1
 
     def test_a_gateway_that_starts_while_the_store_is_away_serves(self, tmp_path):
-        """The caller is served by a gateway that has never reached the store.
+        """Guards against a gateway that can't serve before it has reached the store.
 
-        One gateway runs, another starts and is turned away by the store. The first
-        tells it the configuration and the endpoints.
+        One gateway runs, and another starts and is refused by the store. The first one
+        sends it the configuration and the endpoints.
         """
         with running_gateways(tmp_path, gateways=1) as fleet:
             fleet.store.modes_by_door[fleet.gateways[0].name] = "busy"
@@ -606,10 +617,11 @@
             assert fleet.call(late, "GET", "/reads/1").status == 200
 
     def test_a_gateway_that_restarts_while_the_store_is_away_serves(self, tmp_path):
-        """Callers are served by a gateway that restarts under its old name.
+        """Guards against a restarted gateway that gets no state from its peers.
 
-        The others know it from before; they must tell it again what they know. Until
-        it knows endpoints, the directory does not send callers to it.
+        The gateway restarts under its old name while the store refuses all gateways.
+        Peers that sent it their state before must send it again. Until it knows
+        endpoints, the directory does not list it.
         """
         with running_gateways(tmp_path, gateways=2) as fleet:
             other, restarted = fleet.gateways
@@ -625,18 +637,22 @@
             wait_for(lambda: fleet.addresses(other) == both, "it to be named again")
 
     def test_a_gateway_that_has_just_started_serves_its_first_callers(self, tmp_path):
-        """Guards against refusals while the configuration is on its way.
+        """Guards against refusals while the first configuration is being read.
 
-        After the whole fleet has lost power, callers connect to daemons that began to
-        listen a moment ago and have not read a large configuration yet.
+        After the whole fleet has lost power, callers connect to daemons that have just
+        started to listen and have not finished reading a large configuration.
         """
         with running_gateways(tmp_path, gateways=0) as fleet:
             started = fleet.start_gateway("started", wait=False, store_mode="slow")
             wait_for(lambda: "gateway_started" in started.log, "it to listen")
             assert fleet.call(started, "GET", "/reads/1").status == 200
 
-    def test_one_that_reads_nothing_refuses_at_once_after_its_start(self, tmp_path):
-        """Guards against callers who wait for a daemon that knows nothing."""
+    def test_a_gateway_without_answers_of_the_store_refuses_at_once(self, tmp_path):
+        """Guards against callers that wait at a daemon without a configuration.
+
+        The store does not answer. After the time that a start may take, requests are
+        refused at once.
+        """
         with running_gateways(tmp_path, gateways=0) as fleet:
             started = fleet.start_gateway("started", wait=False, store_mode="silent")
             wait_for(lambda: "gateway_started" in started.log, "it to listen")
@@ -645,10 +661,10 @@
             assert fleet.call(started, "GET", "/reads/1").status == 503
             assert time.monotonic() - before < 0.5
 
-    def test_the_directory_does_not_name_a_gateway_that_is_not_ready(self, tmp_path):
-        """Callers are not sent to a gateway that would refuse all of them.
+    def test_the_directory_does_not_list_a_gateway_that_is_not_ready(self, tmp_path):
+        """Guards against callers that are sent to a gateway which refuses everything.
 
-        It has started while neither the store nor a peer could tell it of endpoints.
+        The gateway has started while neither the store nor a peer knows endpoints.
         """
         with running_gateways(tmp_path, gateways=1) as fleet:
             fleet.on_loop(fleet.store.remove, "op/config")
