--- a/tests/gateway_soak.py
+++ b/tests/gateway_soak.py
@@ -1,18 +1,19 @@
-"""A randomized soak: real gateways, faults from outside, promises checked throughout.
+"""A randomized soak test: real gateways under faults, checked against guarantees.
 
     python tests/gateway_soak.py --seeds 50 --seconds 20
 
 Each seed starts three gateways, or as many as ``--gateways`` says, as processes, with
-a proxy before each endpoint, and lets callers press while faults come one after the
-other and overlap: processes are killed, stopped, paused and restarted, connections
-delayed, silenced, cut one way or reset, the store turns gateways away, endpoints
-misbehave or name rate limits, operators change what is in force. What callers were
-told is held against what endpoints ran:
-
-- a call that may not run twice ran at most once;
-- a refusal that promises "not run" is true, also later;
-- a success is the whole answer to this very request;
-- an endpoint that names a rate limit gets no more than it allows from all together.
+a proxy in front of each endpoint. Callers send requests continuously while faults
+follow one another and overlap: processes are killed, stopped, paused and restarted;
+connections are delayed, blocked in one or both directions, or reset; the store refuses
+gateways; endpoints fail or name rate limits; operators change the configuration. The
+answers that callers received are compared with what the endpoints ran:
+
+- a request that must not run twice ran at most once;
+- a request that was refused as not run has not run, and does not run later;
+- a successful answer is complete and belongs to its request;
+- an endpoint that names a rate limit gets no more requests from all gateways together
+  than it allows.
 """
 
 import asyncio
@@ -37,28 +38,31 @@
 )
 
 STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 9))
-# Statuses with which a gateway promises that a request has not run and never will.
-PROMISES = (408, 421, 429, 503)
+# Statuses that mean that a request has not run and will not run later.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 CALLERS = 6
-# Between two faults, in seconds; each lasts up to a few times as long.
+# About the mean interval between two faults, in seconds.
 FAULT_GAP_SECONDS = 0.5
+# Longest duration of a fault, in seconds; rate limits last for `LIMIT_SECONDS`.
 LONGEST_FAULT_SECONDS = 3.0
-# After the last fault a fleet serves again within this.
+# Within this time after the last fault all gateways must serve again, in seconds.
 RECOVERY_SECONDS = 20.0
-# Rates that endpoints name, in requests a second, and for how long. Requests are summed
-# over a window; from so long after the first answer that named it the limit binds.
+# Rates that endpoints name, in requests per second.
 LIMITS = (0.5, 1.0, 3.0)
+# How long an endpoint names a rate limit, in seconds.
 LIMIT_SECONDS = 8.0
+# Length of the window in which an endpoint's requests are counted, in seconds.
 LIMIT_WINDOW_SECONDS = 4.0
+# Time from the first answer that names a limit until it is checked, in seconds.
 LIMIT_BINDS_SECONDS = 3.0
 BEHAVIOURS = ("failing", "full", "reset", "hang", "twice", "other", "short", "cut")
 
 
 class Proxy:
-    """Passes a connection's bytes on, as its mode says.
+    """Forwards the bytes of connections to an endpoint, with the fault of its mode.
 
-    ``delay`` holds each piece back, ``silent`` passes nothing, ``one_way`` nothing
-    from the endpoint, and ``reset`` ends every connection at once.
+    ``delay`` delays each piece by 0.05 s, ``silent`` forwards nothing, ``one_way``
+    forwards nothing from the endpoint, and ``reset`` closes the open connections.
     """
 
     MODES = ("delay", "silent", "one_way", "reset")
@@ -119,7 +123,7 @@
 
 
 class Call(NamedTuple):
-    """One request of a caller and what it was told; no answer is None."""
+    """One request of a caller and its answer, None if there was none."""
 
     request_id: str
     kind: str
@@ -127,7 +131,7 @@
 
 
 class Limit(NamedTuple):
-    """A rate that an endpoint named, in requests a second, from and until a moment."""
+    """A rate, in requests per second, that an endpoint named, and from when to when."""
 
     endpoint_id: str
     rate: float
@@ -136,7 +140,7 @@
 
 
 class Soak:
-    """One seed's run."""
+    """The run of one seed."""
 
     def __init__(self, fleet: Fleet, seed: int):
         self.fleet = fleet
@@ -148,13 +152,13 @@
         self._version = 100
         self.faults: list[str] = []
         self.limits: list[Limit] = []
-        # Processes that the soak has killed or told to stop, and gateways whose
-        # process ended without that.
+        # Ids of the processes that the soak has killed or stopped, and names of
+        # the gateways whose process ended without that.
         self._ended_by_soak: set[int] = set()
         self._ended_by_themselves: list[str] = []
 
     def prepare(self) -> None:
-        """Put a proxy before each endpoint."""
+        """Start a proxy for each endpoint and register its address."""
         for endpoint_id, endpoint in self.fleet.endpoints.items():
             proxy = Proxy(endpoint.address)
             self.fleet.await_on_loop(proxy.start())
@@ -167,9 +171,12 @@
         self.fleet.register(endpoint_id, service, address=address, **fields)
 
     def run(self, seconds: float) -> None:
-        """Press and harm for so long, mend everything, and see it serve again."""
+        """Send requests and cause faults for ``seconds``, then wait for recovery.
+
+        Fails if a gateway does not serve again after the last fault was undone.
+        """
         callers = [
-            threading.Thread(target=self._press, args=(random.Random(number),))
+            threading.Thread(target=self._send_requests, args=(random.Random(number),))
             for number in range(CALLERS)
         ]
         for caller in callers:
@@ -178,7 +185,7 @@
         while time.monotonic() < end:
             time.sleep(self.rng.uniform(0.1, 2 * FAULT_GAP_SECONDS))
             self._undo_due(time.monotonic())
-            self._harm()
+            self._cause_fault()
         self._undo_due(float("inf"))
         self._stopping.set()
         for caller in callers:
@@ -189,7 +196,7 @@
         assert time.monotonic() < deadline, "it took too long to serve again"
 
     def check(self) -> list[str]:
-        """Return what was promised and not kept."""
+        """Return a line for each guarantee that was broken."""
         broken = [f"{name} ended by itself" for name in self._ended_by_themselves]
         broken += filter(None, map(self._excess, self.limits))
         for call in self.calls:
@@ -199,14 +206,14 @@
             answer = call.answer
             if answer is None or not answer.status:
                 continue
-            if call.kind == "books" and answer.status in PROMISES and runs:
+            if call.kind == "books" and answer.status in NOT_RUN_STATUSES and runs:
                 broken.append(f"{call.request_id}: {answer.status}, but it ran")
             if answer.status == 200 and not self._is_own(call, answer):
                 broken.append(f"{call.request_id}: {answer.body[:60]!r}")
         return broken
 
     def _excess(self, limit: Limit) -> str:
-        """Return what an endpoint got beyond its limit; empty if it did not."""
+        """Return a line about an endpoint that got too many requests, else empty."""
         times = [
             at
             for at in self.fleet.endpoints[limit.endpoint_id].arrived_at
@@ -228,7 +235,7 @@
         expected = f"answer to {call.request_id}".encode()
         return answer.body == expected if answer.whole else True
 
-    def _press(self, rng: random.Random) -> None:
+    def _send_requests(self, rng: random.Random) -> None:
         while not self._stopping.is_set():
             kind = rng.choice(("reads", "books", "prompts"))
             headers = dict(PROMPT_HEADERS) if kind == "prompts" else {}
@@ -241,12 +248,12 @@
                     gateway, method, f"/{kind}/1", b"", headers, request_id, 6.0
                 )
             except (OSError, ValueError, IndexError):
-                answer = None  # No connection, or one that was cut in its head.
+                answer = None  # No connection, or it ended within the head.
             self.calls.append(Call(request_id, kind, answer))
             time.sleep(rng.uniform(0.0, 0.05))
 
     def _serves_again(self, number: int) -> bool:
-        # One that was told to stop may end only now, after all faults.
+        # A gateway that got SIGTERM may end only now, after the last fault.
         self._restart_dead()
         return self._serves(self.fleet.gateways[number])
 
@@ -256,24 +263,24 @@
         except (OSError, ValueError, IndexError):
             return False
 
-    def _harm(self) -> None:
-        harms = (
+    def _cause_fault(self) -> None:
+        fault_methods = (
             self._kill,
             self._stop,
             self._pause,
-            self._harm_link,
-            self._harm_store,
-            self._harm_endpoint,
+            self._fail_link,
+            self._fail_store,
+            self._fail_endpoint,
             self._limit_endpoint,
             self._drain,
             self._reconfigure,
             self._take_out,
         )
-        harm = self.rng.choice(harms)
-        self.faults.append(harm.__name__)
-        harm()
+        cause_fault = self.rng.choice(fault_methods)
+        self.faults.append(cause_fault.__name__)
+        cause_fault()
 
-    def _later(self, undo: Callable[[], None]) -> None:
+    def _undo_later(self, undo: Callable[[], None]) -> None:
         lasts = self.rng.uniform(0.3, LONGEST_FAULT_SECONDS)
         self._undo.append((time.monotonic() + lasts, undo))
 
@@ -288,18 +295,18 @@
         self._ended_by_soak.add(gateway.process.pid)
         gateway.process.kill()
         gateway.process.wait()
-        self._later(self._restart_dead)
+        self._undo_later(self._restart_dead)
 
     def _stop(self) -> None:
         process = self.rng.choice(self.fleet.gateways).process
         self._ended_by_soak.add(process.pid)
         process.send_signal(signal.SIGTERM)
-        self._later(self._restart_dead)
+        self._undo_later(self._restart_dead)
 
     def _pause(self) -> None:
         process = self.rng.choice(self.fleet.gateways).process
         process.send_signal(signal.SIGSTOP)
-        self._later(lambda: process.send_signal(signal.SIGCONT))
+        self._undo_later(lambda: process.send_signal(signal.SIGCONT))
 
     def _restart_dead(self) -> None:
         for number, gateway in enumerate(self.fleet.gateways):
@@ -308,25 +315,25 @@
                     self._ended_by_themselves.append(gateway.name)
                 self.fleet.gateways[number] = self.fleet.restart(gateway)
 
-    def _harm_link(self) -> None:
+    def _fail_link(self) -> None:
         proxy = self.rng.choice(list(self.proxies.values()))
         self.fleet.on_loop(proxy.set_mode, self.rng.choice(Proxy.MODES))
-        self._later(lambda: self.fleet.on_loop(proxy.set_mode, "open"))
+        self._undo_later(lambda: self.fleet.on_loop(proxy.set_mode, "open"))
 
-    def _harm_store(self) -> None:
+    def _fail_store(self) -> None:
         doors = self.fleet.store.modes_by_door
         name = self.rng.choice(list(doors))
         doors[name] = self.rng.choice(("busy", "many", "silent", "reset", "lost"))
-        self._later(lambda: doors.update({name: "open"}))
+        self._undo_later(lambda: doors.update({name: "open"}))
 
-    def _harm_endpoint(self) -> None:
+    def _fail_endpoint(self) -> None:
         endpoint = self.rng.choice(list(self.fleet.endpoints.values()))
         endpoint.behaviour = self.rng.choice(BEHAVIOURS)
 
-        def mend() -> None:
+        def recover() -> None:
             endpoint.behaviour = "well"
 
-        self._later(mend)
+        self._undo_later(recover)
 
     def _limit_endpoint(self) -> None:
         endpoint = self.rng.choice(list(self.fleet.endpoints.values()))
@@ -347,7 +354,7 @@
     def _drain(self) -> None:
         endpoint_id = self.rng.choice(list(self.fleet.endpoints))
         self.register(endpoint_id, state="draining")
-        self._later(lambda: self.register(endpoint_id))
+        self._undo_later(lambda: self.register(endpoint_id))
 
     def _reconfigure(self) -> None:
         self._version += self.rng.randint(1, 5)
@@ -356,11 +363,11 @@
     def _take_out(self) -> None:
         store = self.fleet.store
         self.fleet.on_loop(store.put_json, "op/evacuate/b", {})
-        self._later(lambda: self.fleet.on_loop(store.remove, "op/evacuate/b"))
+        self._undo_later(lambda: self.fleet.on_loop(store.remove, "op/evacuate/b"))
 
 
 def run_seed(seed: int, seconds: float, gateways: int = 3) -> tuple[Soak, list[str]]:
-    """Run one seed and return what was broken."""
+    """Run one seed; return the run and the guarantees that were broken."""
     path = Path(tempfile.mkdtemp(prefix="soak-"))
     with running_gateways(path, gateways=gateways) as fleet:
         soak = Soak(fleet, seed)
@@ -375,7 +382,7 @@
 @click.option("--seconds", default=20.0, show_default=True)
 @click.option("--gateways", default=3, show_default=True)
 def main(seeds: int, first: int, seconds: float, gateways: int) -> None:
-    """Run seeds one after the other; exit 1 if a promise was broken."""
+    """Run seeds one after the other; exit 1 if a guarantee was broken."""
     failed = 0
     for seed in range(first, first + seeds):
         soak, broken = run_seed(seed, seconds, gateways)
--- a/tests/test_gateway_soak.py
+++ b/tests/test_gateway_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak with fixed seeds; longer ones are run by hand."""
+"""Short runs of the soak test with fixed seeds; longer ones are started by hand."""
 
 import pytest
 from gateway_soak import run_seed
@@ -6,21 +6,22 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_promises_hold_under_faults(seed):
-    """Callers see refusals that are true and answers that are their own.
+    """Callers get correct refusals, and only the answers to their own requests.
 
-    Gateways are killed, paused and stopped, links and the store misbehave, endpoints
-    fail, operators change things: one after the other, and overlapping.
+    Gateways are killed, paused and stopped, links and the store fail, endpoints fail
+    and operators change the configuration. These faults follow one another and overlap.
     """
     soak, broken = run_seed(seed, seconds=6.0)
     assert not broken
     assert len(soak.calls) > 20
 
 
-def test_a_gateway_told_to_stop_at_the_end_is_awaited():
-    """A seed in which one that was told to stop ended after all faults were undone.
+def test_a_gateway_that_is_stopped_at_the_end_is_restarted():
+    """Guards against a soak that fails because of a planned stop.
 
-    Its callers get no connection until it runs again, as after any planned stop. The
-    soak took it for lost, since it looked for dead processes only before.
+    With this seed a gateway gets SIGTERM and ends after all faults were undone. The
+    soak restarted ended processes only before that moment, so that it waited in vain
+    for this gateway to serve again.
     """
     _, broken = run_seed(7416, seconds=10.0)
     assert not broken
@@ -28,7 +29,7 @@
 
 @pytest.mark.parametrize("seed", [3, 7502])
 def test_promises_hold_in_a_fleet_with_relays(seed):
-    """The same for a fleet that tells its news through a relay, which dies as well."""
+    """The same in a fleet that sends updates through a relay, which is killed too."""
     soak, broken = run_seed(seed, seconds=6.0, gateways=20)
     assert not broken
     assert len(soak.calls) > 20
