--- a/tests/test_at_fault.py
+++ b/tests/test_at_fault.py
@@ -1,4 +1,4 @@
-"""Who is held to account for a failed attempt, and what its request loses by it."""
+"""Which endpoints may answer a request after an attempt failed."""
 
 import random
 
@@ -47,9 +47,12 @@
 
 
 class TestAnsweringEndpoints:
-    """A request that was sent to as many endpoints as its route allows."""
+    """A request that was sent to as many endpoints as its route allows.
 
-    def test_one_that_has_not_failed_it_gets_it_again_with_other_helpers(self):
+    Only those of them that were not at fault for a failed attempt may answer it.
+    """
+
+    def test_an_endpoint_not_at_fault_gets_it_again_with_other_helpers(self):
         placement = placer().place(
             demand(
                 150_000,
@@ -66,8 +69,8 @@
         assert placement.helpers
         assert "e2" not in {part.endpoint_id for part in placement.helpers}
 
-    def test_without_any_left_it_is_refused_at_once(self):
-        """Its caller does not wait until the deadline for an endpoint that has left."""
+    def test_it_is_refused_at_once_if_no_such_endpoint_is_left(self):
+        """Guards against callers that wait in vain for an endpoint that was removed."""
         assert not fits_fleet(
             demand(answering_ids=frozenset({"e9"})), tracked_endpoints(3)
         )
--- a/tests/test_gateway_attempt.py
+++ b/tests/test_gateway_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an endpoint, without a network."""
+"""Attempts at endpoints, and records that can't be read, without a network."""
 
 import asyncio
 import io
@@ -14,11 +14,12 @@
 from cranberrywick.routing.placement import Placement
 
 
-def test_an_endpoint_that_is_gone_when_its_turn_comes_did_not_run_it():
-    """A caller's request goes to another endpoint and is not lost.
+def test_a_request_to_an_endpoint_that_was_removed_counts_as_not_run():
+    """Guards against requests that fail though another endpoint could serve them.
 
-    It waited for a place and got one. Before its task went on, a reading of the store
-    came in which the endpoint was missing.
+    A request waits and is placed at an endpoint. Before its task runs, a snapshot of
+    the store is applied in which that endpoint is missing. The attempt must raise the
+    error after which the request may be sent to another endpoint.
     """
 
     async def attempt():
@@ -32,7 +33,7 @@
 
 
 def test_a_record_that_cannot_be_read_is_logged_once():
-    """Operators see which endpoint gets no work because of its record."""
+    """Operators can see from the log which endpoint gets no requests, and why."""
     stream = io.StringIO()
     with make_handler("info", stream).applicationbound():
         tracker = EndpointTracker(EventLog())
--- a/tests/test_lazy_metrics.py
+++ b/tests/test_lazy_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics whose library is loaded when they are first read."""
+"""Tests for metrics whose library is loaded when they are first read."""
 
 import asyncio
 import subprocess
@@ -8,7 +8,10 @@
 
 
 def test_a_start_does_not_load_the_metrics_library():
-    """All daemons start at once after a power cut, and callers wait for the first."""
+    """Guards against slower starts.
+
+    After a power cut all daemons start at once, and callers wait for the first.
+    """
     code = (
         "import sys, cranberrywick.gateway.app; "
         "print(any(name.startswith('opentelemetry') for name in sys.modules))"
@@ -19,7 +22,7 @@
     assert done.stdout.strip() == "False"
 
 
-def test_what_was_noted_before_the_first_reading_is_in_it():
+def test_the_first_rendering_has_what_was_recorded_before_it():
     async def main():
         metrics = LazyMetrics("e1")
         metrics.request_ended("grants", "completed", 0.5)
@@ -35,8 +38,8 @@
     assert requests_in(second) == 2
 
 
-def test_notes_that_nobody_reads_stay_few():
-    """Nobody scrapes a daemon for hours: its memory does not grow with its requests."""
+def test_measurements_that_are_never_read_are_bounded():
+    """Guards against memory that grows with requests while metrics are not read."""
 
     async def main():
         metrics = LazyMetrics("e1")
--- a/tests/test_unheard_requests.py
+++ b/tests/test_unheard_requests.py
@@ -1,4 +1,4 @@
-"""Many daemons place prompts before they hear of one another."""
+"""Many daemons place prompts before they receive one another's updates."""
 
 import random
 from collections import Counter
@@ -21,7 +21,7 @@
 
 
 def answers(endpoint_id, count, now):
-    """Return short answers that an engine has been writing for a while."""
+    """Return the jobs of short answers that an engine began to write 0.7 s ago."""
     job = Job(
         *(endpoint_id, 5_000, 0.03, now - 0.8, now - 0.7),
         decoding=True,
@@ -42,12 +42,15 @@
     )
 
 
-def placed_at_once(taken_by_engine, daemons, update_delay_seconds, seed):
-    """Let each daemon place a short prompt with the same knowledge."""
+def places_by_engine(taken_by_engine, daemons, update_delay_seconds, seed):
+    """Return how many prompts each engine gets if all daemons see the same load.
+
+    Each daemon places one short prompt and does not know of those of the others.
+    """
     now = 100.0
     load = FleetLoad()
-    for engine, taken in taken_by_engine.items():
-        load.receive(f"of-{engine}", answers(engine, taken, now), now)
+    for engine, count in taken_by_engine.items():
+        load.receive(f"of-{engine}", answers(engine, count, now), now)
     places = Counter()
     for number in range(daemons):
         rng = random.Random(1000 * seed + number)
@@ -67,37 +70,43 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_daemons_that_have_not_heard_of_one_another_rarely_meet(seed):
-    """A hundred and thirty engines are half full, a dozen of them emptier.
+def test_daemons_without_updates_rarely_choose_the_same_engine(seed):
+    """Guards against prompts that wait because many daemons choose the same engines.
 
-    Within the age of the news two dozen daemons place a short prompt each, and all see
-    the same dozen as the best. Whoever comes to an engine without a free slot waits
-    there until an answer ends, longer than its target.
+    Of 135 engines, 12 have fewer requests than the rest. Within the delay of updates,
+    24 daemons each place a short prompt, and all see the same 12 engines as the best.
+    A prompt at an engine without a free slot waits there until an answer ends, which
+    takes longer than its target.
     """
-    taken = {f"e{n:03}": 1 if n < 12 else 3 for n in range(135)}
-    places = placed_at_once(taken, daemons=24, update_delay_seconds=0.07, seed=seed)
+    taken_by_engine = {f"e{n:03}": 1 if n < 12 else 3 for n in range(135)}
+    places = places_by_engine(
+        taken_by_engine, daemons=24, update_delay_seconds=0.07, seed=seed
+    )
     too_many = {
         engine: count
         for engine, count in places.items()
-        if taken[engine] + count > SLOTS
+        if taken_by_engine[engine] + count > SLOTS
     }
     assert not too_many
 
 
-def test_the_best_engine_is_taken_where_nothing_is_unheard():
-    """One daemon alone, or news that is not old: no lot is drawn."""
-    taken = {f"e{n:03}": 2 if n == 7 else 4 for n in range(16)}
-    places = placed_at_once(taken, daemons=1, update_delay_seconds=0.0, seed=1)
+def test_the_best_engine_is_chosen_where_no_update_is_missing():
+    """The choice is random only where updates are delayed, not for a single daemon."""
+    taken_by_engine = {f"e{n:03}": 2 if n == 7 else 4 for n in range(16)}
+    places = places_by_engine(
+        taken_by_engine, daemons=1, update_delay_seconds=0.0, seed=1
+    )
     assert places == {"e007": 1}
 
 
-def test_hundreds_of_daemons_lose_little_for_what_they_have_not_heard():
-    """Callers of 195 daemons are served nearly as by one that knows everything.
+def test_hundreds_of_daemons_lose_little_by_delayed_updates():
+    """Guards against placements that get worse with the number of daemons.
 
-    Prompts of all lengths come to engines with few slots; within the age of the news
-    others place some, and all daemons see the same engines as the best. One daemon that
-    places everything itself has all of the worth on time here. A random price on each
-    engine lost 0.029 of it; the aim is to lose at most half of that.
+    195 daemons place prompts of all lengths on engines with few slots. Within the delay
+    of updates, other daemons place prompts too, and all see the same engines as the
+    best. A single daemon that places everything has the whole worth on time here.
+    Adding a random price to each engine lost 0.029 of the worth; the limit is half of
+    that.
     """
     profile = PROFILE._replace(slots=SLOTS, stride=80)
     results = []
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place are served, or refused once it is too late."""
+"""Waiting requests are placed, or refused once they can't meet their deadline."""
 
 import asyncio
 from types import SimpleNamespace
@@ -22,8 +22,8 @@
 from cranberrywick.routing.registry import EndpointRegistry
 
 
-class FullUntil:
-    """A placer without a free place until a moment."""
+class PlacerFullUntil:
+    """A placer that finds no endpoint with room before a moment."""
 
     def __init__(self, moment):
         self._moment = moment
@@ -64,10 +64,10 @@
 
 
 async def place(free_after, deadline_after, prompt_tokens=200_000):
-    """Return how long a request waited, and whether it got a place."""
+    """Return how many seconds a request waited, and whether it was placed."""
     loop = asyncio.get_running_loop()
     started = loop.time()
-    waiting = WaitingRequests(state(), FullUntil(started + free_after))
+    waiting = WaitingRequests(state(), PlacerFullUntil(started + free_after))
     try:
         deadline = started + deadline_after
         await waiting.place(demand(prompt_tokens), 1, started, deadline)
@@ -76,16 +76,16 @@
     return loop.time() - started, True
 
 
-def test_a_request_that_can_only_miss_its_deadline_is_refused_at_once():
-    """Guards against callers that are held to the end of their time for nothing."""
+def test_a_request_that_cannot_meet_its_deadline_is_refused_at_once():
+    """Guards against callers that wait until their deadline for a certain refusal."""
     least = least_seconds(demand(200_000))
     waited, is_placed = run_in_virtual_time(place(10.0, least / 2))
     assert not is_placed
     assert waited < 0.05
 
 
-def test_one_that_waits_is_refused_when_its_time_gets_too_short():
-    """Guards against refusals that come when the caller has no time left to retry."""
+def test_a_waiting_request_is_refused_when_too_little_time_is_left():
+    """Guards against refusals that reach the caller too late for a retry."""
     least = least_seconds(demand(200_000))
     waited, is_placed = run_in_virtual_time(place(10.0, least + 0.1))
     assert not is_placed
@@ -93,8 +93,8 @@
 
 
 @pytest.mark.parametrize("prompt_tokens", [1_000, 200_000])
-def test_one_that_can_still_be_served_waits(prompt_tokens):
-    """Guards against refusals of requests for which a place comes in time."""
+def test_a_request_that_can_still_be_served_waits(prompt_tokens):
+    """Guards against refusals of requests for which an endpoint has room in time."""
     waited, is_placed = run_in_virtual_time(place(0.1, 5.0, prompt_tokens))
     assert is_placed
     assert 0.1 <= waited < 0.2
