--- a/cranberrywick/gateway/app.py
+++ b/cranberrywick/gateway/app.py
@@ -124,7 +124,10 @@
         self._log.info("settings_reload_asked", effect="none")
 
     async def _drain(self) -> None:
-        """Leave the directory, serve until no request is left, and close."""
+        """Leave the directory, serve until no request is left, and close.
+
+        After the grace period the daemon closes although requests are left.
+        """
         loop = asyncio.get_running_loop()
         started = loop.time()
         grace = self._settings.bounds.grace_seconds - STOP_MARGIN_SECONDS
--- a/cranberrywick/gateway/attempt.py
+++ b/cranberrywick/gateway/attempt.py
@@ -160,7 +160,7 @@
         return forwarded
 
     async def _open(self, connection: EndpointConnection) -> None:
-        """Connect; try a second time if this daemon was too busy to see the first."""
+        """Connect; try again if the first try timed out while this daemon was busy."""
         started = self._loop.time()
         remaining = self._exchange.deadline - started
         allowed = min(self._connect_timeout.seconds, remaining)
--- a/cranberrywick/gateway/exchange.py
+++ b/cranberrywick/gateway/exchange.py
@@ -24,7 +24,10 @@
     ``sent_ids`` are the endpoints that the request was sent to, ``tried_ids`` the
     endpoints that were at fault for a failed attempt. ``in_flight`` says whether an
     endpoint has the request now, ``may_have_run`` whether one that failed may have run
-    it. Moments are times of the event loop, in seconds.
+    it. ``predicted`` is the forecast time from placement to the first event,
+    ``longest_gap`` the longest pause between events, ``parts`` the number of endpoints
+    that the last attempt used, helpers included. Times are in seconds, moments those of
+    the event loop's clock.
     """
 
     def __init__(
--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -186,7 +186,7 @@
     def _record_first_event(self, exchange: Exchange) -> None:
         """Mark the request's jobs as decoding: its prompt has been read.
 
-        Other requests may now fit at the same endpoints, so places are looked for.
+        Other requests may now fit at the same endpoints, so waiting ones are tried.
         """
         now = self._loop.time()
         if exchange.first_event_at is None:
--- a/cranberrywick/gateway/ingress.py
+++ b/cranberrywick/gateway/ingress.py
@@ -173,7 +173,7 @@
         self._request: h11.Request | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._arrived = 0.0
+        self._head_received_at = 0.0
         self._task: asyncio.Task | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._can_write = asyncio.Event()
@@ -258,7 +258,7 @@
                 self._refuse(431)
                 return
             self._request = event
-            self._arrived = self._loop.time()
+            self._head_received_at = self._loop.time()
             self._body, self._body_bytes = [], 0
             self._set_timer(self._ingress.limits.idle_seconds, self._body_timed_out)
             if self._http.they_are_waiting_for_100_continue:
@@ -284,7 +284,7 @@
             headers=[(bytes(n), bytes(v)) for n, v in head.headers],
             raw_headers=[(bytes(n), bytes(v)) for n, v in head.headers.raw_items()],
             body=b"".join(self._body),
-            arrived=self._arrived,
+            arrived=self._head_received_at,
         )
         self._body = []
         self.answer_started = False
--- a/cranberrywick/gateway/waiting.py
+++ b/cranberrywick/gateway/waiting.py
@@ -79,14 +79,18 @@
         try:
             return await waiter.placement_future
         finally:
-            # If this task is cancelled just after its request was placed, the jobs
-            # are in the load already; the caller of this method drops them in every
-            # case.
+            # The waiter is still in the list if this task was cancelled. If that
+            # happened just after the request was placed, its jobs are in the load
+            # already; the caller of this method always drops them.
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
     def schedule_placing(self) -> None:
-        """Try to place the waiting requests in the next iteration of the event loop."""
+        """Try to place the waiting requests soon.
+
+        They are tried in the next iteration of the event loop, or with the retry that
+        is already scheduled, after at most `RETRY_INTERVAL_SECONDS`.
+        """
         if self._waiters and self._scheduled is None:
             self._scheduled = self._loop.call_soon(self._place_waiting)
 
