--- a/cranberrywick/endpoints/__init__.py
+++ b/cranberrywick/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Clients for model engines and plain services, and the relay of streams."""
+"""Clients for model engines and plain services, and the relay for their streams."""
--- a/cranberrywick/endpoints/cancel.py
+++ b/cranberrywick/endpoints/cancel.py
@@ -1,4 +1,4 @@
-"""Cancels streams at engines, off the threads that serve callers."""
+"""Cancellation of streams at engines, on threads that serve no caller."""
 
 import threading
 import time
@@ -16,24 +16,29 @@
     "Cleanups",
     "cancel_later",
     "cancel_stream",
-    "note_cleanup",
+    "record_cleanup",
     "recent_cleanups",
 ]
 
+# Deadline of one cancel request, in seconds.
 CANCEL_SECONDS = 1.0
-# When an engine dies, each cancel takes `CANCEL_SECONDS` to fail.  Beyond this many
-# the rest is left to the sweep, so that a stop of the daemon is not held up.
+# Largest number of queued cancels.  When an engine dies, each cancel takes
+# `CANCEL_SECONDS` to fail; a longer queue would delay the stop of the daemon.  The
+# sweep ends the streams whose cancels find the queue full.
 QUEUE_LIMIT = 256
 THREADS = 2
-# How long an engine is looked at after something there was given back: several
-# sweeps, and the grace that an item of a request that has ended is given.
+# Time for which the sweep checks an engine after a cancel or release there, in
+# seconds.  It covers several sweeps and the grace period that the sweep allows for
+# items of a request that has ended.
 CLEANUP_SECONDS = 30.0
 
 
 def cancel_stream(address: str, stream_id: str) -> bool:
-    """Ask the engine to end a stream; return False when it could not be asked.
+    """Ask the engine to end a stream; return whether the request got through.
 
-    A lost cancel is made good by the sweep of the engine's own list of streams.
+    Return False when there is no answer within `CANCEL_SECONDS`, or one with a
+    status of 500 or above.  A stream whose cancel is lost stays in the engine's own
+    list of streams, where the sweep finds and ends it.
     """
     connection = None
     try:
@@ -48,11 +53,12 @@
 
 
 class Cleanups:
-    """The engines at which this daemon gave something back lately, by address.
+    """Addresses of engines at which this daemon recently cancelled or released.
 
-    A cancel may be lost on the way or by the engine itself. The daemon that looks
-    after the engine can't tell, for the owner is alive; only the owner knows that
-    its request has ended, so it looks at the engine's list once more itself.
+    A cancel may be lost by the network or by the engine. The daemon that sweeps the
+    engine does not end the stream, since its owner, the daemon that sent the
+    request, is alive. Only the owner knows that the request has ended, so the owner
+    checks the engine's list as well.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
@@ -61,25 +67,25 @@
         self._time_by_address: dict[str, float] = {}
 
     def record(self, address: str) -> None:
-        """Note that something was given back at an engine."""
+        """Record a cancel or release at an engine, at the present time."""
         with self._lock:
             self._time_by_address[address] = self._clock()
 
     def recent(self) -> frozenset[str]:
-        """Return the engines to look at, forgetting the others."""
+        """Return the engines recorded within `CLEANUP_SECONDS` and drop the others."""
         with self._lock:
             oldest = self._clock() - CLEANUP_SECONDS
-            for address, noted in list(self._time_by_address.items()):
-                if noted < oldest:
+            for address, recorded_at in list(self._time_by_address.items()):
+                if recorded_at < oldest:
                     del self._time_by_address[address]
             return frozenset(self._time_by_address)
 
 
 class Canceller:
-    """A bounded queue of cancels and the threads that work it off.
+    """A bounded queue of cancels and the threads that send them.
 
-    A cancel on the request's own thread would make its caller wait up to
-    `CANCEL_SECONDS` for an answer that is already known.
+    If the request's own thread sent the cancel, its caller would wait up to
+    `CANCEL_SECONDS` longer for an outcome that is already known.
     """
 
     def __init__(self):
@@ -113,10 +119,13 @@
 _canceller = Canceller()
 _cleanups = Cleanups()
 recent_cleanups = _cleanups.recent
-note_cleanup = _cleanups.record
+record_cleanup = _cleanups.record
 
 
 def cancel_later(address: str, stream_id: str) -> bool:
-    """Queue a cancel and have the engine looked at by the next sweeps."""
+    """Queue a cancel; return False when the queue is full.
+
+    The engine is recorded in either case, so that the next sweeps check it.
+    """
     _cleanups.record(address)
     return _canceller.submit(address, stream_id)
--- a/cranberrywick/endpoints/gang.py
+++ b/cranberrywick/endpoints/gang.py
@@ -5,7 +5,7 @@
 
 from cranberrywick.decisions.gangs import GangPlan, GangReservation, Held, Step
 from cranberrywick.decisions.orphans import ListedKind
-from cranberrywick.endpoints.cancel import note_cleanup
+from cranberrywick.endpoints.cancel import record_cleanup
 from cranberrywick.endpoints.holdings import list_holdings, release, reserve
 from cranberrywick.errors import AnswerLost, CranberrywickError, EndpointRefused
 
@@ -41,7 +41,7 @@
         yield ",".join(reservation.import_ids)
     finally:
         for held in reservation.to_release():
-            note_cleanup(addresses_by_id[held.endpoint_id])
+            record_cleanup(addresses_by_id[held.endpoint_id])
             if _give_back(held, addresses_by_id[held.endpoint_id], owner):
                 reservation.released(held)
 
