--- a/cranberrywick/endpoints/connection.py
+++ b/cranberrywick/endpoints/connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint that one absolute deadline bounds."""
+"""HTTP connections to endpoints on which one absolute deadline bounds every wait."""
 
 import socket
 import time
@@ -12,19 +12,25 @@
 
 __all__ = ["CONNECT_SECONDS", "EndpointConnection", "connect"]
 
-# A live endpoint accepts within a round trip, milliseconds inside a region.  A
-# second covers one lost SYN (the kernel sends it again after 1 s at the latest)
-# and leaves most of a 1.7 s first-token target for another endpoint.
+# Timeout of connecting, in seconds.  A live endpoint accepts within a round trip,
+# which takes milliseconds inside a region.  One second covers one lost SYN (the
+# kernel sends it again after 1 s at the latest) and leaves time within a
+# first-token target of 1.7 s to try another endpoint.
 CONNECT_SECONDS = 1.0
-# How often a thread that waits for an endpoint looks whether its caller is there.
+# Interval at which a thread that waits for an endpoint checks whether its caller is
+# still connected, in seconds.
 CALLER_CHECK_SECONDS = 0.25
 
 
 class _DeadlineSocket(socket.socket):
-    """A socket whose every operation ends at one absolute time.
+    """A socket whose operations all share one absolute deadline.
 
-    A timeout for each operation lets an endpoint that sends one byte at a time
-    hold its caller for ever; here the time left shrinks with every read.
+    With a timeout for each operation, an endpoint that sends one byte at a time
+    could make its caller wait without limit. Here each read has only the time
+    that earlier reads have not used.
+
+    ``deadline`` is in seconds of `time.monotonic`; None lifts the bound.
+    ``disconnected`` is polled while a read waits, which then raises `CallerGone`.
     """
 
     deadline: float | None = 0.0
@@ -32,38 +38,41 @@
     disconnected: Callable[[], bool] | None = None
 
     def makefile(self, mode: str = "r", *args, **kwargs):
-        """Keep the reader, which may hold the first bytes of the body."""
+        """Return a file and keep it: its buffer may hold the body's first bytes."""
         self.reader = super().makefile(mode, *args, **kwargs)
         return self.reader
 
     def recv_into(self, *args, **kwargs) -> int:
         while True:
-            self._limit()
+            self._apply_timeout()
             try:
                 return super().recv_into(*args, **kwargs)
             except TimeoutError:
-                # Either a slice of the wait is over or, as `_limit` will say, all.
+                # Either one interval of the wait has ended or the deadline has
+                # passed; in the latter case `_apply_timeout` raises on the next turn.
                 if self.disconnected is not None and self.disconnected():
                     raise CallerGone("the caller hung up") from None
 
     def sendall(self, *args, **kwargs) -> None:
-        self._limit(slices=False)
+        self._apply_timeout(polls_caller=False)
         super().sendall(*args, **kwargs)
 
-    def _limit(self, slices: bool = True) -> None:
+    def _apply_timeout(self, polls_caller: bool = True) -> None:
         if self.deadline is None:
             return
-        left = self.deadline - time.monotonic()
-        if left <= 0:
+        remaining = self.deadline - time.monotonic()
+        if remaining <= 0:
             raise TimeoutError("deadline passed")
-        self.settimeout(min(left, CALLER_CHECK_SECONDS) if slices else left)
+        self.settimeout(
+            min(remaining, CALLER_CHECK_SECONDS) if polls_caller else remaining
+        )
 
 
 class EndpointConnection(HTTPConnection):
-    """One connection for one exchange; it keeps its socket until it is closed.
+    """A connection for one exchange that keeps its socket until it is closed.
 
-    The HTTP library lets go of the socket as soon as it has read an answer's head
-    that announces a close.
+    The HTTP library drops its reference to the socket as soon as it has read
+    response headers with ``Connection: close``; `release` still needs the socket.
     """
 
     def __init__(self, host: str, port: int, sock: _DeadlineSocket):
@@ -83,21 +92,25 @@
 def connect(
     address: str, deadline: float, disconnected: Callable[[], bool] | None = None
 ) -> EndpointConnection:
-    """Return a fresh connection to ``address``, an IP number and port.
+    """Return a new connection to ``address``, an IP address and port.
+
+    ``deadline`` is in seconds of `time.monotonic` and bounds all operations on the
+    connection.
 
-    Every send has its own connection.  A connection kept from an earlier send may
-    still carry that send's late answer, which the next caller would then receive,
-    and one that the endpoint has just closed leaves a send in doubt.  At the
-    design size a daemon sends some 17 requests a second, so a round trip for each
-    is the cheaper price.
+    Connections are not reused.  A connection kept from an earlier request may still
+    carry that request's late answer, which the next caller would then receive.  If
+    the endpoint has just closed a kept connection, it stays unknown whether a
+    request sent on it ran.  At the design size a daemon sends about 17 requests a
+    second, so one more round trip for each costs less than these faults.
 
-    `EndpointRefused` and `TimedOut` raised here say that nothing ran: no byte of
-    the request has left.
+    Raises `EndpointRefused` when the connection fails and `TimedOut` when the
+    deadline passes first; both state that the request did not run, since none of
+    its bytes were sent.
     """
     host, port = address.rsplit(":", 1)
     host = host.strip("[]")
-    left = deadline - time.monotonic()
-    if left <= 0:
+    remaining = deadline - time.monotonic()
+    if remaining <= 0:
         raise TimedOut("no time left to connect", executed=Executed.NO)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = _DeadlineSocket(family, socket.SOCK_STREAM)
@@ -105,7 +118,7 @@
     sock.disconnected = disconnected
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.settimeout(min(left, CONNECT_SECONDS))
+        sock.settimeout(min(remaining, CONNECT_SECONDS))
         sock.connect((host, int(port)))
     except OSError as error:
         sock.close()
