--- a/cranberrywick/endpoints/client.py
+++ b/cranberrywick/endpoints/client.py
@@ -10,7 +10,12 @@
 from cranberrywick.endpoints.cancel import cancel_later
 from cranberrywick.endpoints.connection import EndpointConnection
 from cranberrywick.endpoints.events import EventCheck
-from cranberrywick.endpoints.exchange import COMPLETIONS_PATH, Call, exchange, guarded
+from cranberrywick.endpoints.exchange import (
+    COMPLETIONS_PATH,
+    Call,
+    exchange,
+    run_with_typed_errors,
+)
 from cranberrywick.errors import (
     AmbiguousSend,
     AnswerLost,
@@ -171,7 +176,7 @@
 
     def _body(self) -> Iterator[bytes]:
         received = 0
-        while data := guarded(self._read, self.call):
+        while data := run_with_typed_errors(self._read, self.call):
             received += len(data)
             if received > MAX_ANSWER_BYTES:
                 raise AnswerLost("the answer is larger than the limit")
@@ -221,7 +226,7 @@
     A plain 503 may come from something between that gave up waiting, after the
     endpoint took the request; only the endpoint's own word means "not run".
     """
-    body = guarded(lambda: response.read1(MAX_REFUSAL_BYTES), call)
+    body = run_with_typed_errors(lambda: response.read1(MAX_REFUSAL_BYTES), call)
     connection.close()
     try:
         reason = _REFUSALS.get(json.loads(body)["error"]["type"])
--- a/cranberrywick/endpoints/exchange.py
+++ b/cranberrywick/endpoints/exchange.py
@@ -1,4 +1,4 @@
-"""One request and the head of its answer, on a connection of their own."""
+"""Sending one request on its own connection and reading its response headers."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -12,18 +12,19 @@
 from cranberrywick.endpoints.connection import EndpointConnection, connect
 from cranberrywick.errors import AmbiguousSend, AnswerLost, TimedOut
 
-__all__ = ["COMPLETIONS_PATH", "Call", "exchange", "guarded"]
+__all__ = ["COMPLETIONS_PATH", "Call", "exchange", "run_with_typed_errors"]
 
 COMPLETIONS_PATH = "/v1/chat/completions"
 
 
 class Call(NamedTuple):
-    """One attempt at an endpoint.
+    """One attempt to run a request at an endpoint.
 
-    ``remaining_seconds`` is what is left of the request's time: it bounds the
-    connection, the first byte and every read together. ``disconnected`` tells
-    whether the caller has hung up; waiting then ends with `CallerGone`.
-    ``owner`` is listed by the engine beside the stream, for the sweep.
+    ``remaining_seconds`` is the time left until the request's deadline; it bounds
+    connecting, the wait for the first byte and all reads together. ``disconnected``
+    returns whether the caller has closed its connection; waiting then ends with
+    `CallerGone`. ``owner`` names the daemon that sends the request; the engine
+    lists it with the stream, so that the sweep finds streams whose owner is gone.
     """
 
     request_id: str
@@ -45,24 +46,31 @@
 
     @property
     def stream_id(self) -> str:
-        """The name of the answer's stream at the endpoint."""
+        """The id under which the endpoint lists the answer's stream."""
         return f"{self.request_id}.{self.attempt}"
 
 
 def exchange(
     address: str, call: Call, deadline: float
 ) -> tuple[EndpointConnection, BaseHTTPResponse]:
-    """Send a call on a connection of its own and return its answer's head.
+    """Send a call on its own connection and return once the headers have arrived.
 
-    Raises what `guarded` does, `EndpointRefused` when no connection was made, and
-    `AnswerLost` when the answer names another attempt.
+    The body of the returned response is not read yet. ``deadline`` is in seconds of
+    `time.monotonic`.
+
+    Raises what `run_with_typed_errors` raises, `EndpointRefused` when no connection
+    was made, and `AnswerLost` when the answer carries the ids of another attempt. On
+    any failure after connecting, the connection is closed and a completion is
+    cancelled at the engine.
     """
     connection = connect(address, deadline, call.disconnected)
     try:
-        response = guarded(lambda: _request(connection, call, deadline), call)
-        _check_echo(response, call)
+        response = run_with_typed_errors(
+            lambda: _request(connection, call, deadline), call
+        )
+        _check_attempt_ids(response, call)
     except BaseException:
-        # The late answer of a call that timed out must find no reader.
+        # Nothing may read the answer of a failed call that arrives later.
         connection.close()
         if call.is_completion:
             cancel_later(address, call.stream_id)
@@ -92,11 +100,11 @@
     return connection.getresponse()
 
 
-def guarded(operation: Callable, call: Call):
-    """Run ``operation`` and turn what the libraries raise into typed failures.
+def run_with_typed_errors(operation: Callable, call: Call):
+    """Run ``operation`` and translate the libraries' exceptions into typed errors.
 
-    Raises `TimedOut`, or where the connection broke `AmbiguousSend`, or `AnswerLost`
-    for an idempotent call.
+    Raises `TimedOut` when the deadline passed.  When the connection broke, raises
+    `AnswerLost` for an idempotent call and `AmbiguousSend` for any other.
     """
     try:
         return operation()
@@ -110,11 +118,12 @@
         raise AmbiguousSend(f"the connection broke: {error}") from error
 
 
-def _check_echo(response: BaseHTTPResponse, call: Call) -> None:
-    """Raise `AnswerLost` when an answer does not name this very attempt.
+def _check_attempt_ids(response: BaseHTTPResponse, call: Call) -> None:
+    """Raise `AnswerLost` when an answer does not carry this attempt's ids.
 
-    Answers cross when an endpoint, or something between, mixes up connections.
-    The caller would receive another caller's text.
+    An endpoint or an intermediary that mixes up connections delivers the answer to
+    another request.  Without this check, the caller would receive another caller's
+    text.
     """
     echoed = (response.headers.get("X-Request-Id"), response.headers.get("X-Attempt"))
     if echoed != (call.request_id, str(call.attempt)):
