--- a/cranberrywick/endpoints/events.py
+++ b/cranberrywick/endpoints/events.py
@@ -1,4 +1,4 @@
-"""Checks on the server-sent events of one answer, without decoding each event."""
+"""Validation of an answer's server-sent events without decoding each event."""
 
 import json
 
@@ -6,10 +6,12 @@
 
 __all__ = ["MAX_EVENT_BYTES", "EventCheck", "error_event"]
 
-# One event carries a few tokens; this leaves room for a large tool call, and 640
-# streams of an engine that never ends its event hold 160 MB.
+# Largest size of one event.  Most events carry a few tokens; the limit leaves room
+# for a large tool call.  If 640 streams each buffer an event that never ends, they
+# hold 160 MB.
 MAX_EVENT_BYTES = 256 * 1024
 
+# Largest number of digits in an event's number; longer ones are rejected unparsed.
 MAX_NUMBER_DIGITS = 18
 
 _EVENT_END = b"\n\n"
@@ -19,8 +21,8 @@
 def error_event(error: CranberrywickError, request_id: str) -> bytes:
     """Return the last event of a stream that failed; no ``[DONE]`` follows it.
 
-    The status line is long sent by then, so that the failure can only be told in
-    the stream itself.
+    The status line has already been sent, so the failure can only be reported
+    within the stream.
 
     >>> error_event(AnswerLost("the stream broke off"), "r1")[:13]
     b'event: error\n'
@@ -30,15 +32,20 @@
 
 
 class EventCheck:
-    """Passes on the whole events of one answer and raises on any other's.
+    """Validates the events of one answer and returns those that are complete.
 
-    An event is checked as bytes: it must number itself next in line (``id: N``)
-    and hold the answer's id as a JSON string.  A quotation mark inside a JSON
-    string is escaped, so that text which a model generates can't imitate the
-    quoted id or the ``"usage":`` key.  Only the event with the usage is decoded.
+    Events are checked as bytes: each must carry the next number (``id: N``) and
+    contain the answer's id as a JSON string.  A quotation mark inside a JSON string
+    is escaped, so text that a model generates can't imitate the quoted id or the
+    ``"usage":`` key.  Only the event with the token usage is decoded.
 
-    Events seen before, as after a resume, are dropped.  A hole in the numbers, an
-    event of another request, and ``[DONE]`` without a usage are `AnswerLost`.
+    Events that were already accepted are dropped; an engine may repeat them after a
+    resume.  A gap in the numbers, an event of another request, and ``[DONE]`` before
+    any token usage raise `AnswerLost`.
+
+    ``last_event`` is the number of the last accepted event, -1 before the first;
+    ``output_tokens`` is the count from the usage event, None before it; ``ended``
+    tells whether ``[DONE]`` has arrived.
 
     >>> check = EventCheck("r1", 1)
     >>> check.feed(b'id: 0\\ndata: {"id": "r1.1"}\\n\\nid: 1')
@@ -48,7 +55,7 @@
     """
 
     def __init__(self, request_id: str, attempt: int):
-        self._mark = f'"{request_id}.{attempt}"'.encode()
+        self._quoted_id = f'"{request_id}.{attempt}"'.encode()
         self._partial = b""
         self.last_event = -1
         self.output_tokens: int | None = None
@@ -56,45 +63,46 @@
         self._failure: AnswerLost | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes as they arrived and return the whole events among them.
+        """Validate received bytes and return the complete events among them.
 
-        Good events before a bad one are returned first; `raise_pending`, to be
-        called when they have been passed on, then raises.
+        Bytes of an incomplete event are kept for the next call.  Raises `AnswerLost`
+        for an invalid event.  If valid events precede it, they are returned first
+        and `raise_pending` raises the error; call it after forwarding them.
         """
         self.raise_pending()
         if self._partial:
             data = self._partial + data
         end = data.rfind(_EVENT_END)
         if end < 0:
-            self._keep(data)
+            self._keep_partial(data)
             return b""
         end += len(_EVENT_END)
-        self._keep(data[end:])
+        self._keep_partial(data[end:])
         if data.find(_EVENT_END) + len(_EVENT_END) == end:
             return data[:end] if self._accept(data[:end]) else b""
         return self._accept_each(data[:end].split(_EVENT_END)[:-1])
 
     def raise_pending(self) -> None:
-        """Raise the failure that came after the events returned last."""
+        """Raise the failure found after the events that `feed` returned last."""
         if self._failure is not None:
             raise self._failure
 
     def restart(self) -> None:
-        """Drop a half-received event before the stream is resumed."""
+        """Discard a partly received event and any pending failure, before a resume."""
         self._partial = b""
         self._failure = None
 
     def finish(self) -> None:
-        """Raise `AnswerLost` unless the stream has ended with its end mark.
+        """Raise `AnswerLost` unless the stream has ended with ``[DONE]``.
 
-        A connection that closes looks the same whether the answer is whole or
-        cut; a caller must never take a cut answer for a short one.
+        A connection closes in the same way whether the answer is complete or
+        truncated; a truncated answer must never pass for a short one.
         """
         self.raise_pending()
         if not self.ended:
             raise AnswerLost(f"the stream broke off after event {self.last_event}")
 
-    def _keep(self, partial: bytes) -> None:
+    def _keep_partial(self, partial: bytes) -> None:
         if len(partial) > MAX_EVENT_BYTES:
             raise AnswerLost("an event is larger than the limit")
         self._partial = partial
@@ -106,8 +114,9 @@
                 if self._accept(event):
                     accepted.append(event + _EVENT_END)
         except AnswerLost as failure:
-            # `last_event` counts what was accepted: it must reach the caller
-            # before the failure does, or a resume would leave a hole.
+            # `last_event` already counts the accepted events, and a resume starts
+            # after it.  They must reach the caller before the failure is raised, or
+            # the caller would never receive them.
             if not accepted:
                 raise
             self._failure = failure
@@ -117,14 +126,14 @@
         if self.ended:
             raise AnswerLost("an event came after the end of the stream")
         if event.startswith(b":"):
-            return False  # a comment, which engines send to keep a connection open
+            return False  # an SSE comment, sent by engines as a keep-alive
         if event.startswith(_DONE):
             if self.output_tokens is None:
                 raise AnswerLost("the stream ended without its token count")
             self.ended = True
             return True
-        number = self._number(event)
-        if self._mark not in event:
+        number = self._parse_number(event)
+        if self._quoted_id not in event:
             raise AnswerLost("an event belongs to another request")
         if number <= self.last_event:
             return False
@@ -135,7 +144,7 @@
         self.last_event = number
         return True
 
-    def _number(self, event: bytes) -> int:
+    def _parse_number(self, event: bytes) -> int:
         line = event[: event.find(b"\n")]
         digits = line[4:]
         if not line.startswith(b"id: ") or not digits.isdigit():
