--- a/cranberrywick/endpoints/client.py
+++ b/cranberrywick/endpoints/client.py
@@ -1,4 +1,4 @@
-"""Sends one request to one endpoint, once, and says whether it ran."""
+"""Client that sends a request to one endpoint once and reports whether it ran."""
 
 import json
 import socket
@@ -31,15 +31,18 @@
     "send",
 ]
 
-# A million output tokens of some 60 bytes an event; no honest answer is larger.
+# Largest answer.  A million output tokens at about 60 bytes an event stay below it,
+# so only a faulty endpoint sends more.
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 MAX_REFUSAL_BYTES = 4096
 READ_BYTES = 65536
-# An endpoint that asks for more than this is not waited for.
+# Upper bound on an endpoint's ``Retry-After``, in seconds; larger values are cut to
+# it.
 MAX_RETRY_AFTER_SECONDS = 3600.0
+# Number of times that one stream is resumed.
 RESUME_ATTEMPTS = 2
 
-# The words by which an endpoint says that it did not run a request.
+# Error types of a 503 that state that the endpoint did not run the request.
 _REFUSALS = {
     reason.value: reason
     for reason in (EndpointRefusal.COLD, EndpointRefusal.LEAVING, EndpointRefusal.FULL)
@@ -47,11 +50,15 @@
 
 
 class Answer:
-    """An answer whose head has arrived and belongs to its call.
+    """An answer whose headers have arrived and carry the ids of its call.
 
-    `chunks` yields the body.  A stream is passed on event by event and is resumed
-    where it broke off; what can't be resumed is `AnswerLost`.  Close the answer on
-    every path: closing an unfinished stream cancels it at the endpoint.
+    `chunks` yields the body.  Of a stream, only complete events are yielded, and a
+    stream that breaks off is resumed after the last of them; `AnswerLost` is raised
+    when that fails.  Close the answer on every path: closing an unfinished stream
+    cancels it at the endpoint.
+
+    ``deadline`` is in seconds of `time.monotonic`.  ``check`` validates the events
+    of a stream and is None for any other answer.
     """
 
     def __init__(
@@ -72,44 +79,48 @@
         self._response = response
         self._complete = False
         self._resumes = 0
-        self._plain_output_tokens = 0
+        self._completion_output_tokens = 0
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status code."""
         return self._response.status
 
     @property
     def headers(self) -> Mapping[str, str]:
-        """The answer's headers; names compare without case."""
+        """The answer's headers; names are case-insensitive."""
         return self._response.headers
 
     @property
     def output_tokens(self) -> int:
-        """Tokens that the endpoint says it generated; 0 until the answer's end."""
+        """Number of generated tokens that the endpoint reports.
+
+        It is 0 until the report arrives, which is at the end of the answer.
+        """
         if self.check is not None:
             return self.check.output_tokens or 0
-        return self._plain_output_tokens
+        return self._completion_output_tokens
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body as it arrives.
+        """Yield the body as it arrives; a plain completion comes in one piece.
 
-        Raises `TimedOut`, `AnswerLost`, or `AmbiguousSend` when a call that is not
-        idempotent broke off.
+        Raises `TimedOut` when the deadline passed and `AnswerLost` when the answer
+        is incomplete or invalid.  When the connection broke, raises `AmbiguousSend`
+        for a call that is not idempotent.
         """
         if self.check is not None:
-            yield from self._events(self.check)
+            yield from self._iter_events(self.check)
         elif self.call.is_completion and self.status == 200:
-            yield self._whole_completion()
+            yield self._read_completion()
         else:
-            yield from self._body()
+            yield from self._iter_body()
         self.completed()
 
     def cancel(self) -> None:
-        """Stop the stream at the endpoint, so that it frees its memory.
+        """Close the connection and end the stream, so that the engine frees memory.
 
-        The engine also notices the closed connection, but only when it next
-        writes; in a long prefill that is much later.
+        The engine also detects the closed connection, but only at its next write;
+        during a long prefill that is much later.
         """
         self.close_connection()
         if self._complete or not self.call.is_completion:
@@ -118,25 +129,27 @@
         cancel_later(self.address, self.call.stream_id)
 
     def close(self) -> None:
-        """Release the connection; cancels a stream that has not ended."""
+        """Close the connection and cancel a completion that has not ended."""
         self.cancel()
 
     def close_connection(self) -> None:
-        """Close the connection only."""
+        """Close the connection without a cancel."""
         self._response.close()
         self._connection.close()
 
     def release(self) -> tuple[socket.socket, bytes]:
-        """Hand the connection's socket, non-blocking, to the relay.
+        """Return the connection's socket, now non-blocking, for use by the relay.
 
-        Returned with it are the raw bytes of the body that were already read.
+        The second value holds the raw bytes of the body that were already read.
         """
         return self._connection.release()
 
     def resume(self) -> None:
-        """Take up a broken stream after the last whole event, or raise `AnswerLost`.
+        """Reconnect to a broken stream after the last complete event.
 
-        The engine numbers its events, so that the caller gets each one once.
+        The engine numbers its events, so that the caller receives each one once.
+        Raises `AnswerLost` when the stream can't be resumed or has been resumed
+        `RESUME_ATTEMPTS` times.
         """
         check = self.check
         if check is None or check.ended or self._resumes == RESUME_ATTEMPTS:
@@ -158,36 +171,36 @@
             raise AnswerLost("the broken stream is gone")
 
     def completed(self) -> None:
-        """Note that the whole answer has been passed on."""
+        """Record that the whole answer was forwarded; `close` then cancels nothing."""
         self._complete = True
 
-    def _whole_completion(self) -> bytes:
-        """Return a plain completion once it is known to be this call's, and whole."""
-        body = b"".join(self._body())
+    def _read_completion(self) -> bytes:
+        """Return a completion that is not streamed, after checking its id and usage."""
+        body = b"".join(self._iter_body())
         try:
             document = json.loads(body)
             answer_id = document["id"]
-            self._plain_output_tokens = int(document["usage"]["completion_tokens"])
+            self._completion_output_tokens = int(document["usage"]["completion_tokens"])
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             raise AnswerLost("the answer is not a whole completion") from error
         if answer_id != self.call.stream_id:
             raise AnswerLost("the answer belongs to another request")
         return body
 
-    def _body(self) -> Iterator[bytes]:
+    def _iter_body(self) -> Iterator[bytes]:
         received = 0
         while data := run_with_typed_errors(self._read, self.call):
             received += len(data)
             if received > MAX_ANSWER_BYTES:
                 raise AnswerLost("the answer is larger than the limit")
             yield data
-        if received and not _states_its_end(self._response):
+        if received and not _has_marked_end(self._response):
             raise AnswerLost("nothing tells a whole answer from a cut one")
 
     def _read(self) -> bytes:
         return self._response.read1(READ_BYTES)
 
-    def _events(self, check: EventCheck) -> Iterator[bytes]:
+    def _iter_events(self, check: EventCheck) -> Iterator[bytes]:
         while True:
             try:
                 yield from self._events_until_break(check)
@@ -196,7 +209,7 @@
                 self.resume()
 
     def _events_until_break(self, check: EventCheck) -> Iterator[bytes]:
-        for data in self._body():
+        for data in self._iter_body():
             if events := check.feed(data):
                 yield events
             check.raise_pending()
@@ -204,12 +217,13 @@
 
 
 def send(address: str, call: Call) -> Answer:
-    """Send ``call`` to ``address`` once and return its answer's head.
+    """Send ``call`` to ``address`` once; return the answer when its headers arrive.
 
-    Raises `EndpointRefused` when nothing ran: no connection, or the endpoint's own
-    typed refusal.  Any failure after the first byte was sent leaves open whether
-    the call ran: `TimedOut`, `AmbiguousSend` or `AnswerLost`, with ``executed``
-    unknown.  Nothing is sent a second time and no redirect is followed.
+    Raises `EndpointRefused` when the call did not run, because there was no
+    connection or because the endpoint refused it with a typed error.  After the
+    first byte was sent, any other failure leaves unknown whether the call ran:
+    `TimedOut`, `AmbiguousSend` or `AnswerLost`, with ``executed`` unknown.  The call
+    is never sent again and no redirect is followed.
     """
     deadline = time.monotonic() + call.remaining_seconds
     connection, response = exchange(address, call, deadline)
@@ -223,8 +237,8 @@
 ) -> None:
     """Raise `EndpointRefused` for a typed refusal, `AmbiguousSend` for any other 503.
 
-    A plain 503 may come from something between that gave up waiting, after the
-    endpoint took the request; only the endpoint's own word means "not run".
+    An untyped 503 may come from an intermediary that timed out after the endpoint
+    had received the request; only a typed refusal means that the call did not run.
     """
     body = run_with_typed_errors(lambda: response.read1(MAX_REFUSAL_BYTES), call)
     connection.close()
@@ -237,18 +251,21 @@
     raise EndpointRefused(
         f"the endpoint refused: {reason.value}",
         reason=reason,
-        retry_after=_seconds(response.headers.get("Retry-After")),
+        retry_after=_parse_retry_after(response.headers.get("Retry-After")),
     )
 
 
-def _seconds(value: str | None) -> float | None:
+def _parse_retry_after(value: str | None) -> float | None:
     if value is None or not (value.isascii() and value.isdigit()):
         return None
     return min(float(value), MAX_RETRY_AFTER_SECONDS)
 
 
-def _states_its_end(response: BaseHTTPResponse) -> bool:
-    """Whether a body that was cut could not pass for a whole one."""
+def _has_marked_end(response: BaseHTTPResponse) -> bool:
+    """Return whether the end of the body is marked, so that truncation is noticed.
+
+    A body that ends when the connection closes looks complete wherever it breaks.
+    """
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "")
     return chunked or "Content-Length" in response.headers
 
