--- a/cranberrywick/endpoints/relay.py
+++ b/cranberrywick/endpoints/relay.py
@@ -1,12 +1,13 @@
-"""Passes streams from engines on to callers, all on one thread.
+"""Forwarding of streams from engines to callers, all on one thread.
 
-A thread for each stream wakes for each event of its stream, and every wake waits
-for the interpreter's lock, which hundreds of threads contend for. Here one thread
-waits for all engines at once, checks what has arrived and writes it through the
+With one thread for each stream, every event wakes a thread that must wait for the
+interpreter's lock, for which hundreds of threads contend. Instead, one thread waits
+for all engines at once, validates the received events and writes them through the
 caller's WSGI ``write``; the request's own thread sleeps until its stream has ended.
 
-The thread never blocks: reads are non-blocking, and a caller that does not read is
-given up before its buffer is full. See docs/design/relay.md.
+The relay's thread never blocks: reads are non-blocking, and the stream of a caller
+that does not read is ended before the caller's buffer is full. See
+docs/design/relay.md.
 """
 
 import os
@@ -27,23 +28,26 @@
 __all__ = ["MAX_UNREAD_BYTES", "Relay"]
 
 READ_BYTES = 65536
-# How often deadlines and callers' connections are looked at.  A caller that hung
-# up during a long prefill is noticed this much later at most.
+# Interval between checks of deadlines and of callers' connections, in seconds.  It
+# bounds the delay after which a caller's disconnect during a long prefill is noticed.
 TICK_SECONDS = 0.25
-# A caller this far behind has not read for over a minute of a stream of 16 events
-# of 200 bytes a second, beyond what the kernel holds for it.  It must stay below
-# waitress's ``outbuf_high_watermark``, at which a write blocks.
+# Largest number of bytes that the server may hold for a caller, besides those in the
+# kernel's buffers, before its stream is ended.  At 16 events a second of 200 bytes
+# each, a caller that reaches it has not read for over a minute, the time to fill the
+# kernel's buffers included.  The limit must stay below waitress's
+# ``outbuf_high_watermark``, at which a write blocks.
 MAX_UNREAD_BYTES = 128 * 1024
+# Largest size of a chunk's header and of the trailer together.
 MAX_FRAMING_BYTES = 4096
-# The relay ends a stream at its deadline; this much later its request gives up on
-# the relay itself.
+# Time for which a request waits for the relay beyond its stream's deadline, in
+# seconds.  The relay ends the stream at the deadline unless the relay itself fails.
 DEADLINE_GRACE_SECONDS = 2.0
 
 _log = EventLog(part="relay")
 
 
-class _Payload:
-    """Collects what `ChunkedReceiver` has decoded."""
+class _PayloadBuffer:
+    """Buffer of the bytes that `ChunkedReceiver` has decoded."""
 
     def __init__(self):
         self.parts: list[bytes] = []
@@ -51,14 +55,14 @@
     def append(self, data: bytes) -> None:
         self.parts.append(data)
 
-    def take(self) -> bytes:
+    def pop_all(self) -> bytes:
         data = b"".join(self.parts)
         self.parts.clear()
         return data
 
 
 class _Stream:
-    """One stream between the relay's thread and its request's thread."""
+    """State of one stream, shared by the relay's thread and the request's thread."""
 
     def __init__(
         self,
@@ -71,19 +75,20 @@
         self.check = check
         self.deadline = answer.deadline
         self.disconnected = disconnected
-        self.sock, self.early = answer.release()
-        # Answered by the relay: None for the first event, then how it ended.
+        self.sock, self.buffered = answer.release()
+        # Sent by the relay's thread: None after the first event, then the outcome,
+        # which is True for a complete stream and an error for any other.
         self.signals: SimpleQueue[None | CranberrywickError | bool] = SimpleQueue()
         self.last_write: float | None = None
         self._write = write
         self._on_gap = on_gap
-        self._payload = _Payload()
+        self._payload = _PayloadBuffer()
         self._received = 0
         chunked = "chunked" in answer.headers.get("Transfer-Encoding", "")
         self._receiver = ChunkedReceiver(self._payload) if chunked else None
 
     def read(self) -> bool:
-        """Pass on what has arrived; return True when the stream has ended."""
+        """Forward the received bytes; return True when the stream has ended."""
         try:
             data = self.sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -92,17 +97,20 @@
             raise AnswerLost(f"the connection broke: {error}") from error
         if not data:
             self.check.finish()
-        return self.pass_on(data)
+        return self.forward(data)
 
-    def pass_on(self, data: bytes) -> bool:
-        """Decode and check raw bytes and write the whole events among them."""
+    def forward(self, data: bytes) -> bool:
+        """Decode and validate raw bytes and write the complete events among them.
+
+        Return True when the stream has ended.
+        """
         self._received += len(data)
         if self._received > MAX_ANSWER_BYTES:
             raise AnswerLost("the answer is larger than the limit")
         if self._receiver is not None:
             self._receiver.received(data)
             self._check_framing(self._receiver)
-            data = self._payload.take()
+            data = self._payload.pop_all()
         if events := self.check.feed(data):
             self._send(events)
         self.check.raise_pending()
@@ -115,12 +123,12 @@
     def _check_framing(self, receiver: ChunkedReceiver) -> None:
         if receiver.error:
             raise AnswerLost("the answer's chunks are malformed")
-        # The decoder gathers a chunk's head, and the trailer, without a limit.
+        # The decoder itself buffers a chunk's header and the trailer without limit.
         if len(receiver.control_line) + len(receiver.trailer) > MAX_FRAMING_BYTES:
             raise AnswerLost("the answer's chunks are malformed")
 
-    def look_after(self) -> bool:
-        """Raise when the stream's time has passed or its caller has gone."""
+    def check_deadline_and_caller(self) -> bool:
+        """Raise when the deadline has passed or the caller has disconnected."""
         if time.monotonic() >= self.deadline:
             raise TimedOut("the class's completion time passed")
         if self.disconnected():
@@ -133,7 +141,8 @@
         try:
             self._write(events)
         except Exception as error:
-            # The server's own exception for a closed connection is private to it.
+            # The server's exception for a closed connection is not part of its
+            # public interface, so it can't be caught by name.
             raise CallerGone("the caller hung up") from error
         now = time.monotonic()
         if self.last_write is None:
@@ -144,22 +153,23 @@
 
 
 class Relay:
-    """Relays any number of streams; start it once for each daemon."""
+    """Forwards any number of streams on one thread; each daemon starts one."""
 
     def __init__(self):
         self._selector = selectors.DefaultSelector()
         self._wake_reader, self._wake_writer = os.pipe()
         os.set_blocking(self._wake_reader, False)
         self._selector.register(self._wake_reader, selectors.EVENT_READ)
-        # Appended to by request threads, emptied by the relay's; both are atomic.
-        self._arrivals: deque[_Stream] = deque()
+        # Appended to by request threads and emptied by the relay's thread; both
+        # operations are atomic.
+        self._new_streams: deque[_Stream] = deque()
         self._streams: set[_Stream] = set()
         self._stopping = False
         self._thread = threading.Thread(target=self._run, name="relay", daemon=True)
 
     @property
     def live_streams(self) -> int:
-        """How many streams are being relayed."""
+        """Number of streams that are being forwarded."""
         return len(self._streams)
 
     def start(self) -> None:
@@ -167,7 +177,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End every stream with `AnswerLost` and stop the thread."""
+        """Stop the thread; every stream then ends with `AnswerLost`."""
         self._stopping = True
         self._wake()
         self._thread.join()
@@ -180,13 +190,15 @@
         on_first: Callable[[], object] = lambda: None,
         on_gap: Callable[[float], object] = lambda seconds: None,
     ) -> None:
-        """Relay a streamed answer to its end; blocks the request's thread.
+        """Forward a streamed answer to its end; blocks the request's thread.
+
+        ``write`` is the callable that WSGI's ``start_response`` returned and
+        ``disconnected`` the server's ``waitress.client_disconnected``.  ``on_first``
+        is called on the request's thread when the first event has been forwarded.
+        ``on_gap`` is called on the relay's thread with the seconds between two
+        writes and must not block.
 
-        ``write`` is what WSGI's ``start_response`` returned, ``disconnected`` the
-        server's ``waitress.client_disconnected``; ``on_first`` is called on this
-        thread when the first event has been passed on, ``on_gap`` on the relay's
-        with the seconds between one write and the next; it must not block.  A
-        stream that broke is resumed.  Raises `AnswerLost`, `TimedOut` or
+        A stream that breaks off is resumed.  Raises `AnswerLost`, `TimedOut` or
         `CallerGone`; the caller of `pump` closes the answer in every case.
 
         >>> answer = send(address, call)
@@ -203,7 +215,7 @@
         while not self._stopping:
             stream = _Stream(answer, check, write, disconnected, on_gap)
             stream.last_write = last_write
-            self._arrivals.append(stream)
+            self._new_streams.append(stream)
             self._wake()
             failure = _wait_for_end(stream, on_first)
             last_write = stream.last_write
@@ -223,43 +235,45 @@
         while not self._stopping:
             for key, _ in self._selector.select(TICK_SECONDS):
                 if key.data is None:
-                    self._admit()
+                    self._register_new_streams()
                 else:
-                    self._advance(key.data)
+                    self._read_stream(key.data)
             if time.monotonic() >= next_tick:
                 self._check_streams()
                 next_tick = time.monotonic() + TICK_SECONDS
-        for stream in [*self._streams, *self._arrivals]:
+        for stream in [*self._streams, *self._new_streams]:
             stream.signals.put(AnswerLost("the relay was stopped"))
 
-    def _admit(self) -> None:
+    def _register_new_streams(self) -> None:
         os.read(self._wake_reader, READ_BYTES)
-        while self._arrivals:
-            stream = self._arrivals.popleft()
+        while self._new_streams:
+            stream = self._new_streams.popleft()
             self._streams.add(stream)
             self._selector.register(stream.sock, selectors.EVENT_READ, stream)
-            if stream.early:
-                self._step(stream, lambda stream=stream: stream.pass_on(stream.early))
+            if stream.buffered:
+                self._step(
+                    stream, lambda stream=stream: stream.forward(stream.buffered)
+                )
 
-    def _advance(self, stream: _Stream) -> None:
+    def _read_stream(self, stream: _Stream) -> None:
         self._step(stream, stream.read)
 
     def _step(self, stream: _Stream, action: Callable[[], bool]) -> None:
         try:
             if action():
-                self._end(stream, True)
+                self._end_stream(stream, True)
         except CranberrywickError as failure:
-            self._end(stream, failure)
+            self._end_stream(stream, failure)
         except Exception as error:
-            # A fault in one stream must not end the thread that serves them all.
+            # An error in one stream must not end the thread that serves all streams.
             _log.error("relay_step_failed", error=error)
-            self._end(stream, AnswerLost("the relay failed"))
+            self._end_stream(stream, AnswerLost("the relay failed"))
 
     def _check_streams(self) -> None:
         for stream in list(self._streams):
-            self._step(stream, stream.look_after)
+            self._step(stream, stream.check_deadline_and_caller)
 
-    def _end(self, stream: _Stream, outcome: CranberrywickError | bool) -> None:
+    def _end_stream(self, stream: _Stream, outcome: CranberrywickError | bool) -> None:
         self._selector.unregister(stream.sock)
         self._streams.discard(stream)
         stream.signals.put(outcome)
@@ -276,19 +290,23 @@
 
 
 def _next_signal(stream: _Stream) -> CranberrywickError | bool | None:
-    """Wait for the relay's thread, but not beyond the stream's own time."""
-    left = stream.deadline - time.monotonic() + DEADLINE_GRACE_SECONDS
+    """Return the next signal of the relay's thread.
+
+    Return `TimedOut` when none comes within `DEADLINE_GRACE_SECONDS` after the
+    stream's deadline.
+    """
+    remaining = stream.deadline - time.monotonic() + DEADLINE_GRACE_SECONDS
     try:
-        return stream.signals.get(timeout=max(left, 0.0))
+        return stream.signals.get(timeout=max(remaining, 0.0))
     except Empty:
         return TimedOut("the relay did not end the stream in time")
 
 
 def _unread_bytes(write: Callable[[bytes], object]) -> int:
-    """Return what the server holds for the caller, as far as it tells.
+    """Return the number of bytes that the server holds for the caller.
 
-    WSGI has no way to ask; waitress's ``write`` is a method of its task, and the
-    task's channel counts its bytes.
+    Return 0 when the server has no such count.  WSGI has no call for it; waitress's
+    ``write`` is a method of its task, whose channel counts the bytes.
     """
     channel = getattr(getattr(write, "__self__", None), "channel", None)
     return getattr(channel, "total_outbufs_len", 0)
