--- a/cranberrywick/endpoints/load.py
+++ b/cranberrywick/endpoints/load.py
@@ -1,4 +1,4 @@
-"""Ask an endpoint for its load."""
+"""Reading of an endpoint's load report."""
 
 import json
 from collections.abc import Callable
@@ -12,15 +12,17 @@
 
 __all__ = ["fetch_load"]
 
-# A report is worth little after the next one is due.
+# Deadline of one load request, in seconds.  A report that takes longer is of little
+# use, since the next one is due by then.
 LOAD_TIMEOUT_SECONDS = 1.0
 MAX_REPORT_BYTES = 64 * 1024
 
 
 def fetch_load(endpoint: Endpoint, clock: Callable[[], float]) -> EndpointLoad:
-    """Return the endpoint's own report, dated on ``clock``.
+    """Request the endpoint's load report from ``/v1/load`` and return it.
 
-    Raises a `CranberrywickError` where it can't be had or makes no sense.
+    The report's time is in seconds of ``clock``.  Raises a `CranberrywickError` when
+    there is no report within `LOAD_TIMEOUT_SECONDS` or it is malformed.
     """
     asked_at = clock()
     connection = connect(endpoint.address, asked_at + LOAD_TIMEOUT_SECONDS)
@@ -38,8 +40,8 @@
 
 
 def _read_report(endpoint_id: str, fields: dict, asked_at: float) -> EndpointLoad:
-    # Dated from the question, not the answer: an answer that was long under way
-    # must not look fresher than it is.
+    # The age counts from the request, not from the arrival of the answer, so that a
+    # report delayed by the network does not look more recent than it is.
     return EndpointLoad(
         endpoint_id=endpoint_id,
         incarnation=int(fields["incarnation"]),
