--- a/cranberrywick/endpoints/gang.py
+++ b/cranberrywick/endpoints/gang.py
@@ -1,4 +1,4 @@
-"""Takes a gang's memory, and gives it back however the request ends."""
+"""Reserves the memory of a gang and releases it however the request ends."""
 
 from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
@@ -11,8 +11,9 @@
 
 __all__ = ["hold_gang"]
 
-# Past the request's own deadline, so that its memory is never taken from under it;
-# short, so that an owner that dies unseen costs little.
+# Time by which a reservation's time-to-live exceeds the request's remaining time, in
+# seconds.  The engine must not free the memory while the request may still use it;
+# a short margin limits how long memory stays reserved when its owner dies unnoticed.
 TTL_MARGIN_SECONDS = 5.0
 
 
@@ -23,12 +24,13 @@
     owner: str,
     remaining_seconds: float,
 ) -> Iterator[str]:
-    """Hold every part of ``plan`` and yield the value for ``X-Cache-Id``.
+    """Reserve every part of ``plan`` and yield the value for ``X-Cache-Id``.
 
-    All or nothing: raises `EndpointRefused`, not run, when any engine refuses, and
-    gives back what was taken.  Everything is given back on leaving the block, too.
-    What an engine does not confirm is found by the next sweeps, and ended by the
-    engine's own time-to-live at last.
+    Either all parts are reserved or none: when an engine refuses or does not answer,
+    the parts reserved so far are released and `EndpointRefused` is raised, which
+    states that the request did not run.  On leaving the block all parts are
+    released.  If an engine does not confirm a release, the next sweeps repeat it; at
+    the latest the reservation ends with its time-to-live at the engine.
 
     >>> with hold_gang(plan, addresses, str(owner), 60.0) as cache_id:
     ...     answer = send(leader, call._replace(headers={"X-Cache-Id": cache_id}))
@@ -37,16 +39,16 @@
     ttl_seconds = remaining_seconds + TTL_MARGIN_SECONDS
     try:
         while step := reservation.next_step():
-            _take(reservation, step, addresses_by_id, owner, ttl_seconds)
+            _reserve_step(reservation, step, addresses_by_id, owner, ttl_seconds)
         yield ",".join(reservation.import_ids)
     finally:
         for held in reservation.to_release():
             record_cleanup(addresses_by_id[held.endpoint_id])
-            if _give_back(held, addresses_by_id[held.endpoint_id], owner):
+            if _release_held(held, addresses_by_id[held.endpoint_id], owner):
                 reservation.released(held)
 
 
-def _take(
+def _reserve_step(
     reservation: GangReservation,
     step: Step,
     addresses_by_id: Mapping[str, str],
@@ -55,8 +57,8 @@
 ) -> None:
     source = ""
     if step.source is not None:
-        holder = addresses_by_id[step.source.endpoint_id]
-        source = f"{holder}/{step.source.reservation_id}"
+        source_address = addresses_by_id[step.source.endpoint_id]
+        source = f"{source_address}/{step.source.reservation_id}"
     try:
         reservation_id = reserve(
             addresses_by_id[step.endpoint_id],
@@ -71,12 +73,13 @@
         raise
     except AnswerLost as error:
         reservation.unknown()
-        # The prompt itself has been sent nowhere.
+        # Whether the reservation exists is unknown, but the request itself has not
+        # been sent to any engine, so it did not run.
         raise EndpointRefused("an engine did not answer a reservation") from error
     reservation.taken(reservation_id)
 
 
-def _give_back(held: Held, address: str, owner: str) -> bool:
+def _release_held(held: Held, address: str, owner: str) -> bool:
     kind = ListedKind(held.kind.value)
     if held.reservation_id is not None:
         return release(address, kind, held.reservation_id)
@@ -84,5 +87,5 @@
         listed = list_holdings(address, held.endpoint_id)
     except CranberrywickError:
         return False
-    mine = [item for item in listed if (item.kind, item.owner) == (kind, owner)]
-    return all([release(address, kind, item.item_id) for item in mine])
+    own_items = [item for item in listed if (item.kind, item.owner) == (kind, owner)]
+    return all([release(address, kind, item.item_id) for item in own_items])
--- a/cranberrywick/endpoints/holdings.py
+++ b/cranberrywick/endpoints/holdings.py
@@ -1,4 +1,4 @@
-"""Asks an engine to keep memory, to give it back, and what it keeps for whom."""
+"""Calls that reserve, release and list the memory that an engine holds for owners."""
 
 import json
 import time
@@ -14,11 +14,13 @@
 
 __all__ = ["list_holdings", "release", "reserve"]
 
-# These calls do no work on the engine beyond book-keeping.
-CALL_SECONDS = 1.0
+# Deadline of one call, in seconds.  A short one suffices, since the engine only
+# updates or reads its records.
+CALL_TIMEOUT_SECONDS = 1.0
 MAX_LIST_BYTES = 4 * 1024 * 1024
-# What `DELETE` answers when the item is not there, which is as good as released.
-NOT_THERE = (404, 410)
+# Statuses of a ``DELETE`` for an item that the engine does not hold; the item counts
+# as released.
+MISSING_STATUSES = (404, 410)
 
 
 def reserve(
@@ -30,10 +32,13 @@
     ttl_seconds: float,
     source: str = "",
 ) -> str:
-    """Return the id of a new export or import.
+    """Reserve an export or import at an engine and return its id.
 
-    Raises `EndpointRefused` when the engine holds nothing, and `AnswerLost` when it
-    may hold it all the same.
+    ``ttl_seconds`` is the time-to-live after which the engine itself releases it.
+    ``source`` names the export that an import reads, as ``ADDRESS/ID``.
+
+    Raises `EndpointRefused` when the engine has reserved nothing, and `AnswerLost`
+    when it may have.
     """
     body = {"owner": owner, "ttl_seconds": ttl_seconds, "tokens": tokens}
     if source:
@@ -47,22 +52,22 @@
 
 
 def release(address: str, kind: ListedKind, item_id: str) -> bool:
-    """End a stream or give memory back; return False when that is not certain."""
+    """End a stream, export or import; return False when that is not confirmed."""
     path = "/v1/streams" if kind is ListedKind.STREAM else f"/v1/cache/{kind.value}"
     try:
         status, _ = _call(address, "DELETE", f"{path}/{item_id}")
     except (AnswerLost, EndpointRefused):
         return False
-    return status == 200 or status in NOT_THERE
+    return status == 200 or status in MISSING_STATUSES
 
 
 def list_holdings(address: str, endpoint_id: str) -> list[Listed]:
     """Return the engine's streams, exports and imports.
 
-    Raises `EndpointRefused` or `AnswerLost` when any of the lists can't be had: half
-    a list would make the rest look released.
+    Raises `EndpointRefused` or `AnswerLost` when any of the three lists can't be
+    read: the items missing from an incomplete result would appear to be released.
     """
-    found = []
+    items = []
     for kind in ListedKind:
         stream = kind is ListedKind.STREAM
         path = "/v1/streams" if stream else f"/v1/cache/{kind.value}"
@@ -70,13 +75,15 @@
         if status != 200:
             raise AnswerLost(f"the engine answered {status} to a list")
         try:
-            found += [_listed(endpoint_id, kind, item) for item in answer[kind.value]]
+            items += [
+                _parse_item(endpoint_id, kind, item) for item in answer[kind.value]
+            ]
         except (KeyError, TypeError, ValueError) as error:
             raise AnswerLost("the engine's list can't be read") from error
-    return found
+    return items
 
 
-def _listed(endpoint_id: str, kind: ListedKind, item: dict[str, Any]) -> Listed:
+def _parse_item(endpoint_id: str, kind: ListedKind, item: dict[str, Any]) -> Listed:
     readers = int(item.get("readers", 0))
     return Listed(endpoint_id, kind, str(item["id"]), str(item["owner"]), readers)
 
@@ -84,7 +91,7 @@
 def _call(
     address: str, method: str, path: str, body: dict | None = None
 ) -> tuple[int, dict]:
-    connection = connect(address, time.monotonic() + CALL_SECONDS)
+    connection = connect(address, time.monotonic() + CALL_TIMEOUT_SECONDS)
     try:
         connection.request(
             method,
