--- a/cranberrywick/endpoints/orders.py
+++ b/cranberrywick/endpoints/orders.py
@@ -1,17 +1,18 @@
-"""Gives orders to endpoints, one daemon at a time, safe when the holder was paused.
-
-An order is given under a lease on ``orders/ENDPOINT``. The revision at which the
-key was written is the order's fence: it only grows, so an endpoint that checks it
-refuses an order of an earlier holder.
-
-Not every endpoint checks. A holder that is paused after its last look at the clock
-could still send its order when it goes on, long after another daemon gave a later
-one. For such an endpoint the order goes over the very connection on which its state
-was read, in the first part of the lease, and never over a new one. A paused holder
-finds that connection closed by the endpoint, which drops idle ones sooner than the
-rest of the lease lasts; what it sends goes nowhere. Orders name the state that is
-wanted, and each turn compares it with what is reported, so that one which slipped
-through all the same is put right.
+"""Sends orders to endpoints, one daemon at a time, even when a daemon was paused.
+
+An order is sent under a lease on the key ``orders/ENDPOINT``. The revision at which
+the key was written is the order's fencing token: revisions only grow, so an endpoint
+that checks the token refuses an order of an earlier lease holder.
+
+Not every endpoint checks it. A holder that is paused after its last check of the
+clock could send its order on resuming, long after another daemon sent a later one.
+For an endpoint without the check, the order is therefore sent only in the first part
+of the lease, on the connection on which the endpoint's state was read, and never on
+a new one. Such an endpoint closes idle connections sooner than the rest of the lease
+lasts, so a paused holder finds its connection closed and its order does not arrive.
+
+An order names the wanted state, and the daemons compare it with the reported state
+repeatedly. This corrects an outdated order that arrived in spite of these measures.
 """
 
 import http.client
@@ -46,18 +47,22 @@
 
 ORDERS_PREFIX = "orders/"
 LEASE_SECONDS = 30.0
-# An order is sent in the first third of the lease. The rest covers an endpoint that
-# drops idle connections within 20 s, and clocks of slightly different speed.
+# Time after the request for the lease within which an order is sent, in seconds. It
+# is a third of the lease; the rest covers an endpoint that closes idle connections
+# within 20 s, and clocks that run at slightly different speeds.
 SEND_WITHIN_SECONDS = 10.0
 ENDPOINT_TIMEOUT_SECONDS = 5.0
 ANSWER_LIMIT_BYTES = 1 << 20
 
-_FAILURES = (OSError, http.client.HTTPException, KeyError, ValueError)
+_REQUEST_ERRORS = (OSError, http.client.HTTPException, KeyError, ValueError)
 
 
 @dataclass(frozen=True)
 class InForce:
-    """The endpoint is in the wanted state; ``was_ordered`` is False if it was."""
+    """The endpoint is in the wanted state.
+
+    ``was_ordered`` is False if it was in that state already and no order was sent.
+    """
 
     incarnation: int
     was_ordered: bool
@@ -65,19 +70,25 @@
 
 @dataclass(frozen=True)
 class FencedOff:
-    """The endpoint has seen a later fence and refused."""
+    """The endpoint refused the order, since it has seen ``fence``, a later token."""
 
     fence: int
 
 
 @dataclass(frozen=True)
 class HeldByOther:
-    """Another daemon gives this endpoint an order, or enough others are at it."""
+    """Another daemon orders this endpoint, or too many endpoints are under an order.
+
+    The latter includes another endpoint of the same failure domain.
+    """
 
 
 @dataclass(frozen=True)
 class NotGiven:
-    """Nothing was sent; try again after ``retry_after`` seconds."""
+    """The order was not sent, or the endpoint answered it with an error status.
+
+    It can be tried again after ``retry_after`` seconds.
+    """
 
     error_type: str
     retry_after: float
@@ -85,7 +96,7 @@
 
 @dataclass(frozen=True)
 class Unconfirmed:
-    """The order was sent and not answered; the next look at the endpoint tells."""
+    """The order was sent and not answered; the next load report shows its effect."""
 
     error_type: str
 
@@ -94,7 +105,7 @@
 
 
 class EngineState(NamedTuple):
-    """What orders can change of an engine, from its report."""
+    """The part of an engine's load report that orders can change."""
 
     version_by_model: dict[str, str]
     adapters: frozenset[str]
@@ -102,33 +113,34 @@
 
 
 def fetch_engine_state(endpoint: Endpoint) -> EngineState:
-    """Ask an engine for its state; raises `AnswerLost`."""
+    """Request an engine's state from ``/v1/load``; raises `AnswerLost`."""
     connection = _connect(endpoint)
     try:
-        fields = _call(connection, "GET", "/v1/load", None)
+        fields = _request_json(connection, "GET", "/v1/load", None)
         versions = fields.get("versions", {})
         return EngineState(
             {str(model): str(version) for model, version in versions.items()},
             frozenset(str(adapter) for adapter in fields.get("adapters", ())),
             fields.get("role"),
         )
-    except (*_FAILURES, AttributeError, TypeError) as error:
+    except (*_REQUEST_ERRORS, AttributeError, TypeError) as error:
         raise AnswerLost(f"no state of {endpoint.endpoint_id}: {error!r}") from error
     finally:
         connection.close()
 
 
-class _Held(NamedTuple):
+class _HeldLease(NamedTuple):
     lease_id: str
     fence: int
     asked_at: float
 
 
 class OrderSender:
-    """Gives one order after another; each call may take several seconds.
+    """Sends orders to endpoints, each under a lease of its own.
 
-    ``clock`` is monotonic; ``before_send`` is called between the last check and the
-    send, for tests to pause there.
+    ``clock`` is monotonic seconds; ``before_send`` is called between the last check
+    and the send, so that a test can pause there. A call of `give` may take several
+    seconds.
 
     >>> order = Order("engine-1", OrderKind.LOAD_MODEL, "drafter", "2")
     >>> order_sender.give(endpoint, order)
@@ -150,9 +162,10 @@
         self._before_send = before_send
 
     def give(self, endpoint: Endpoint, order: Order, limit: int) -> OrderOutcome:
-        """Bring an endpoint into the ordered state.
+        """Bring an endpoint into the ordered state and return the outcome.
 
-        ``limit`` is how many endpoints of the fleet may be under an order at once.
+        ``limit`` is the largest number of the fleet's endpoints that may be under an
+        order at the same time.
         """
         try:
             if order.kind is OrderKind.LOAD_MODEL:
@@ -162,14 +175,14 @@
             return NotGiven(error.type, error.retry_after or 0.0)
         if held is None:
             return HeldByOther()
-        outcome = self._give_under(held, endpoint, order)
+        outcome = self._send_under_lease(held, endpoint, order)
         if not _was_sent(outcome):
-            self._end(held)
-        # Else the lease is left to lapse: until then reports may not show the order
-        # yet, and one without an answer may still be on its way.
+            self._end_lease(held)
+        # After a send the lease is kept until it expires: reports may not show the
+        # effect yet, and an unanswered order may still be in transit.
         return outcome
 
-    def _take_lease(self, endpoint: Endpoint, limit: int) -> _Held | None:
+    def _take_lease(self, endpoint: Endpoint, limit: int) -> _HeldLease | None:
         asked_at = self._clock()
         lease = self._key_value.grant_lease(LEASE_SECONDS)
         key = ORDERS_PREFIX + endpoint.endpoint_id
@@ -179,59 +192,62 @@
                 key, value, expected_revision=0, lease=lease.lease_id
             )
         except (RevisionConflict, LeaseLapsed):
-            self._end(_Held(lease.lease_id, 0, asked_at))
+            self._end_lease(_HeldLease(lease.lease_id, 0, asked_at))
             return None
-        # A lost answer leaves a key that lapses with its lease; nothing was sent.
-        held = _Held(lease.lease_id, fence, asked_at)
+        # A lost answer raises and leaves a key that expires with its lease; no order
+        # was sent under it.
+        held = _HeldLease(lease.lease_id, fence, asked_at)
         if not self._has_room(endpoint, fence, limit):
-            self._end(held)
+            self._end_lease(held)
             return None
         return held
 
     def _has_room(self, endpoint: Endpoint, fence: int, limit: int) -> bool:
-        """Say whether few enough others are under an order, none of this domain.
+        """Return whether another order is allowed in the fleet and in this domain.
 
-        Each holder counts those that came before it, so of any number that come
-        together exactly the first ones stay.
+        That is so if fewer than ``limit`` endpoints are under an order and none of
+        them is in this endpoint's failure domain. Each holder counts only the keys
+        written before its own, so that of several simultaneous holders the earliest
+        proceed.
         """
         entries = self._key_value.list(ORDERS_PREFIX).entries
         earlier = [entry for entry in entries if entry.revision < fence]
         domains = {entry.value.rpartition(" ")[2] for entry in earlier}
         return len(earlier) < limit and endpoint.failure_domain not in domains
 
-    def _end(self, held: _Held) -> None:
+    def _end_lease(self, held: _HeldLease) -> None:
         try:
             self._key_value.end_lease(held.lease_id)
         except PlatformUnavailable:
-            # It lapses by itself.
+            # The lease expires by itself.
             pass
 
-    def _give_under(
-        self, held: _Held, endpoint: Endpoint, order: Order
+    def _send_under_lease(
+        self, held: _HeldLease, endpoint: Endpoint, order: Order
     ) -> OrderOutcome:
         connection = _connect(endpoint)
         try:
-            state = _call(connection, "GET", "/v1/load", None)
+            state = _request_json(connection, "GET", "/v1/load", None)
             if not endpoint.checks_fencing:
-                # From here on only this connection will do: by itself the library
-                # would open another where the endpoint has closed it, and a paused
-                # holder's order would arrive.
+                # Only this connection may be used from here on. By default the
+                # library reconnects when the endpoint has closed the connection, and
+                # a paused holder's order would arrive.
                 connection.auto_open = 0
             if _is_in_force(state, order):
                 return InForce(int(state["incarnation"]), was_ordered=False)
-            # The lease counts from before it was asked for, on this clock, so that
-            # it ends here no later than on the platform.
+            # The lease's time counts from before the request for it, so that by this
+            # clock it ends no later than on the platform.
             if self._clock() - held.asked_at > SEND_WITHIN_SECONDS:
                 return NotGiven("lease_too_old", 0.0)
-        except _FAILURES as error:
+        except _REQUEST_ERRORS as error:
             connection.close()
             return NotGiven(type(error).__name__, 0.0)
         try:
             self._before_send()
-            return _send(connection, order, held.fence)
+            return _post_order(connection, order, held.fence)
         except http.client.NotConnected:
             return NotGiven("not_connected", 0.0)
-        except _FAILURES as error:
+        except _REQUEST_ERRORS as error:
             return Unconfirmed(type(error).__name__)
         finally:
             connection.close()
@@ -243,7 +259,7 @@
     )
 
 
-def _call(
+def _request_json(
     connection: http.client.HTTPConnection, method: str, path: str, fields: dict | None
 ) -> dict:
     body = json.dumps(fields).encode() if fields is not None else None
@@ -256,14 +272,14 @@
     return {**answer, "status": response.status}
 
 
-def _send(
+def _post_order(
     connection: http.client.HTTPConnection, order: Order, fence: int
 ) -> OrderOutcome:
     fields = {"order": order.kind.value, "fence": fence}
     for name in ("model", "version", "adapter", "role"):
         if getattr(order, name) is not None:
             fields[name] = getattr(order, name)
-    answer = _call(connection, "POST", "/v1/orders", fields)
+    answer = _request_json(connection, "POST", "/v1/orders", fields)
     if answer["status"] == 409:
         return FencedOff(int(answer["fence"]))
     if answer["status"] != 200:
@@ -278,13 +294,13 @@
 
 
 def _is_in_force(state: dict, order: Order) -> bool:
-    """Say whether a load report shows the ordered state already."""
+    """Return whether a load report shows the ordered state already."""
     if order.kind is OrderKind.SET_ROLE:
         return state.get("role") == order.role
     if order.model not in state.get("models", ()):
         return False
-    # An engine that tells no versions can't be told to change one, or it would be
-    # told again at every turn.
+    # An engine that reports no versions counts as up to date: the effect of an order
+    # for another version would never show, so the order would be sent repeatedly.
     versions = state.get("versions")
     if versions is not None and versions.get(order.model) != order.version:
         return False
