--- a/cranberrywick/claims/__init__.py
+++ b/cranberrywick/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once claims for calls that may not be repeated."""
+"""Claims that let a call which must not be repeated run at most once."""
--- a/cranberrywick/claims/outcomes.py
+++ b/cranberrywick/claims/outcomes.py
@@ -1,4 +1,4 @@
-"""What a claim is, and what comes of asking for one."""
+"""The claim on a key and the possible outcomes of an attempt to claim it."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -20,7 +20,12 @@
 
 
 class Claim(NamedTuple):
-    """The right to act once on a key; ``nonce`` tells it from all others."""
+    """The right to run the call of one idempotency key, once.
+
+    ``digest`` stands for the key and its organisation, ``bucket_id`` names the stored
+    value that holds the claim, and ``nonce`` distinguishes this attempt from all
+    others.
+    """
 
     bucket_id: str
     digest: str
@@ -28,7 +33,7 @@
 
 
 class RecordedResult(NamedTuple):
-    """An answer as it is given again to the same key."""
+    """The answer of a claimed call, replayed to later calls with the same key."""
 
     status: int
     content_type: str
@@ -37,14 +42,17 @@
 
 @dataclass(frozen=True)
 class Claimed:
-    """The caller of `ClaimStore.claim`, and nobody else, may act."""
+    """The caller of `ClaimStore.claim` may run the call, and no other holder may."""
 
     claim: Claim
 
 
 @dataclass(frozen=True)
 class AlreadyDone:
-    """The call ran before; ``result`` is None when its answer is not kept."""
+    """The call has run already, in the request ``request_id``.
+
+    ``result`` is None when its answer was not kept.
+    """
 
     request_id: str
     result: RecordedResult | None
@@ -52,33 +60,39 @@
 
 @dataclass(frozen=True)
 class InProgress:
-    """Another holder is at it and within its time."""
+    """Another holder claimed the key and its completion time has not passed."""
 
     request_id: str
 
 
 @dataclass(frozen=True)
 class Unknown:
-    """Another holder claimed the key and its outcome was never recorded."""
+    """Another holder claimed the key and it is unknown whether the call ran.
+
+    Either this outcome was recorded, or none was within the completion time.
+    """
 
     request_id: str
 
 
 @dataclass(frozen=True)
 class KeyReused:
-    """The key was used before with another body."""
+    """The key was claimed before for a request with another body."""
 
 
 ClaimOutcome = Claimed | AlreadyDone | InProgress | Unknown | KeyReused
 
 
 class ClaimsFull(Overloaded):
-    """No room for another claim until older ones pass their retention."""
+    """The bucket has no room for a claim until the retention of older ones ends."""
 
     type = "claims_full"
 
 
 class ClaimsUnreadable(PlatformUnavailable):
-    """The stored claims can't be read; to take them for none could run twice."""
+    """The stored claims can't be read.
+
+    If they were treated as absent, a claimed call could run a second time.
+    """
 
     type = "claims_unreadable"
