--- a/cranberrywick/claims/commit.py
+++ b/cranberrywick/claims/commit.py
@@ -1,4 +1,4 @@
-"""Writing a batch of claim operations to one bucket by compare-and-swap."""
+"""Atomic write of a batch of claim operations to one bucket."""
 
 import random
 import time
@@ -15,26 +15,29 @@
     RevisionConflict,
 )
 
-__all__ = ["CommitUnsettled", "Committer", "Outcome"]
+__all__ = ["CommitUnsettled", "Committer", "OperationOutcome"]
 
 CLAIMS_PREFIX = "claims/"
-# A batch that the platform does not settle in this time is given up.
+# Time for which the write of a batch is repeated, in seconds; after it the batch
+# fails.
 SETTLE_SECONDS = 4.0
-PAUSE_MAXIMUM_SECONDS = 0.1
-# What callers are told when the platform gives no time of its own.
+# Longest pause between two attempts to write, in seconds; the pause is random.
+MAX_PAUSE_SECONDS = 0.1
+# Time after which a caller may retry when the platform itself names none, in seconds.
 RETRY_AFTER_SECONDS = 2.0
 
-Outcome = ClaimOutcome | ClaimsFull | None
+OperationOutcome = ClaimOutcome | ClaimsFull | None
 
 
 class CommitUnsettled(PlatformUnavailable):
-    """The batch may have been written; no answer says so."""
+    """It is unknown whether the batch was written, since the answer was lost."""
 
 
 class Committer:
     """Applies operations to buckets in the key-value service.
 
-    ``clock`` is monotonic seconds, ``wall_clock`` seconds since 1970.
+    ``clock`` returns monotonic seconds, ``wall_clock`` seconds since 1970; ``sleep``
+    pauses between two attempts.
     """
 
     def __init__(
@@ -52,11 +55,15 @@
         self._sleep = sleep
         self._random = random.Random()
 
-    def commit(self, bucket_id: str, operations: Sequence[Operation]) -> list[Outcome]:
-        """Carry out the operations in order, all in one write or none.
+    def commit(
+        self, bucket_id: str, operations: Sequence[Operation]
+    ) -> list[OperationOutcome]:
+        """Apply the operations in order in a single write; return their outcomes.
 
-        Returns the outcome of each. Raises `PlatformUnavailable` when nothing was
-        written and `CommitUnsettled` when that is not known.
+        Either all operations take effect or none does. Raises `PlatformUnavailable`
+        when nothing was written, `CommitUnsettled` when that is unknown, and
+        `ClaimsUnreadable`. An operation that finds its bucket full has `ClaimsFull`
+        as its outcome.
         """
         entry = self._key_value.get(CLAIMS_PREFIX + bucket_id)
         give_up_at = self._clock() + SETTLE_SECONDS
@@ -64,23 +71,24 @@
             bucket, outcomes = self._apply(entry, operations)
             if not bucket.changed:
                 return outcomes
-            current = self._swap(entry, bucket.to_text(), give_up_at)
+            current = self._compare_and_swap(entry, bucket.to_text(), give_up_at)
             if current is None:
                 return outcomes
             if self._clock() >= give_up_at:
                 message = f"bucket {bucket_id} is contended"
                 raise PlatformUnavailable(message, retry_after=RETRY_AFTER_SECONDS)
-            # What holds now decides. If it carries the nonces of this batch, an
-            # earlier write of it took effect and applying it again finds them.
+            # The write was refused: apply the batch to the present value. If an
+            # earlier write of this batch took effect, the value contains its nonces
+            # and the operations recognise them.
             entry = current
 
     def _apply(
         self, entry: Entry, operations: Sequence[Operation]
-    ) -> tuple[Bucket, list[Outcome]]:
+    ) -> tuple[Bucket, list[OperationOutcome]]:
         bucket = Bucket.parse(entry.value)
         bucket.prune(self._slices.has_lapsed, self._slices.keeps_results)
         now = self._wall_clock()
-        outcomes: list[Outcome] = []
+        outcomes: list[OperationOutcome] = []
         for operation in operations:
             try:
                 outcomes.append(bucket.apply(operation, now))
@@ -88,13 +96,17 @@
                 outcomes.append(error)
         return bucket, outcomes
 
-    def _swap(self, entry: Entry, text: str, give_up_at: float) -> Entry | None:
-        """Write if the key is as ``entry`` says; return what holds if it is not.
+    def _compare_and_swap(
+        self, entry: Entry, text: str, give_up_at: float
+    ) -> Entry | None:
+        """Write if the key still has the revision of ``entry``.
 
-        A lost answer is settled by sending the same compare-and-swap again: only
-        one of the two can take effect, and a refusal carries the true value. To
-        read the key back instead would not do, since a read may be stale and the
-        first write may still be on its way.
+        Return None if it was written, otherwise the present entry of the key.
+
+        After a lost answer the same compare-and-swap is sent again: only one of the
+        two can take effect, and a refusal carries the present value. Reading the key
+        back would not decide it, since a read may be stale and the first write may
+        still be in transit.
         """
         may_be_written = False
         while True:
@@ -111,4 +123,4 @@
             if self._clock() >= give_up_at:
                 message = f"no answer says whether {entry.key} was written"
                 raise CommitUnsettled(message, retry_after=RETRY_AFTER_SECONDS)
-            self._sleep(self._random.uniform(0, PAUSE_MAXIMUM_SECONDS))
+            self._sleep(self._random.uniform(0, MAX_PAUSE_SECONDS))
