--- a/cranberrywick/claims/bucket.py
+++ b/cranberrywick/claims/bucket.py
@@ -1,7 +1,7 @@
-"""One stored value of at-most-once claims, and what operations do to it.
+"""A bucket: claims that share one stored value, and the operations on them.
 
-Many claims share a value, so that claims made together cost one write. Everything
-here is plain computation: `cranberrywick.claims.store` reads and writes the values.
+Claims made at the same time then cost one write. This module only computes;
+`cranberrywick.claims.commit` reads and writes the values.
 """
 
 import base64
@@ -24,18 +24,23 @@
     Unknown,
 )
 
-__all__ = ["Bucket", "Operation", "RecordResult", "Release", "TakeClaim"]
+__all__ = ["AcquireClaim", "Bucket", "Operation", "RecordResult", "Release"]
 
-# A value may hold 1 MiB. Above the first limit results are no longer kept, above
-# the second no claim is taken; what is left is room for what one batch adds.
-RESULTS_LIMIT_BYTES = 640 << 10
-CLAIMS_LIMIT_BYTES = 896 << 10
-# A booking's answer is some hundred bytes; larger ones are not kept for replay.
-RESULT_LIMIT_BYTES = 4 << 10
+# The store accepts values of up to 1 MiB. In a bucket above the first size, results
+# are no longer kept; above the second, no claim is added. The rest is room for the
+# additions of one batch.
+KEEP_RESULTS_BELOW_BYTES = 640 << 10
+ADD_CLAIMS_BELOW_BYTES = 896 << 10
+# Largest answer that is kept for replay. That of a booking has some hundred bytes.
+MAX_RESULT_BYTES = 4 << 10
 
 
 class ClaimState(StrEnum):
-    """How far a claimed call has come."""
+    """State of a claimed call.
+
+    A call is open until its outcome is recorded; done if it is known that the call
+    ran, and unknown if that can't be found out.
+    """
 
     OPEN = "open"
     DONE = "done"
@@ -52,14 +57,17 @@
     result: RecordedResult | None = None
 
 
-# Where a stored record has its slice, and its result if there is one.
+# Positions of the retention slice and of the optional result in a stored record.
 SLICE_INDEX = 2
 RESULT_INDEX = 6
 
 
 @dataclass(frozen=True)
-class TakeClaim:
-    """Take a claim if the key has none; ``deadline`` is seconds of wall time."""
+class AcquireClaim:
+    """Claim a key if no claim exists for it.
+
+    After ``deadline``, in seconds of wall time, an open claim counts as unknown.
+    """
 
     claim: Claim
     body_digest: str
@@ -70,7 +78,7 @@
 
 @dataclass(frozen=True)
 class RecordResult:
-    """Record what came of a claim; without a result the outcome is unknown."""
+    """Record the outcome of a claimed call, which is unknown without a result."""
 
     claim: Claim
     result: RecordedResult | None
@@ -78,40 +86,44 @@
 
 @dataclass(frozen=True)
 class Release:
-    """Give up a claim under which nothing was or will be done."""
+    """Delete a claim whose call was not sent and never will be."""
 
     claim: Claim
 
 
-Operation = TakeClaim | RecordResult | Release
+Operation = AcquireClaim | RecordResult | Release
 
 
 class Bucket:
     """The claims of one stored value, by digest.
 
     >>> bucket = Bucket.parse(None)
-    >>> bucket.apply(TakeClaim(Claim("00", "d", "n"), "b", 1, 60.0, "req-1"), now=0.0)
+    >>> operation = AcquireClaim(Claim("00", "d", "n"), "b", 1, 60.0, "req-1")
+    >>> bucket.apply(operation, now=0.0)
     Claimed(claim=Claim(bucket_id='00', digest='d', nonce='n'))
     """
 
     def __init__(self, fields_by_digest: dict[str, list], size_bytes: int):
-        # As stored: a batch looks at a few of thousands, and reading all of them
-        # was most of the processor time of a claim.
+        # Kept as stored and decoded when needed: a batch reads only a few of thousands
+        # of claims, and decoding all of them took most of a claim's processor time.
         self._fields_by_digest = fields_by_digest
         self._size_bytes = size_bytes
         self.changed = False
 
     @classmethod
     def parse(cls, text: str | None) -> "Bucket":
-        """Return the claims in a stored value, none for a key that is absent."""
+        """Return the claims in a stored value, which is None for an absent key.
+
+        Raises `ClaimsUnreadable`.
+        """
         if text is None:
             return cls({}, 0)
         try:
             stored = json.loads(text)["claims"]
-            sound = all(map(_looks_sound, stored.values()))
+            well_formed = all(map(_is_well_formed, stored.values()))
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             raise ClaimsUnreadable(f"stored claims: {error!r}") from error
-        if not sound:
+        if not well_formed:
             raise ClaimsUnreadable("stored claims are malformed")
         return cls(stored, len(text))
 
@@ -121,7 +133,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """About how long `to_text` is."""
+        """Approximate length of `to_text`."""
         return self._size_bytes
 
     def __len__(self) -> int:
@@ -130,7 +142,12 @@
     def prune(
         self, has_lapsed: Callable[[int], bool], keeps_results: Callable[[int], bool]
     ) -> None:
-        """Drop claims and results that their retention slice no longer keeps."""
+        """Drop claims and results whose retention has passed.
+
+        Both functions take the id of a retention slice: ``has_lapsed`` returns
+        whether its claims may be dropped, ``keeps_results`` whether their results are
+        still kept.
+        """
         slice_ids = {fields[SLICE_INDEX] for fields in self._fields_by_digest.values()}
         lapsed = {slice_id for slice_id in slice_ids if has_lapsed(slice_id)}
         without_results = {id_ for id_ in slice_ids if not keeps_results(id_)}
@@ -142,12 +159,13 @@
                 self._put(digest, fields[:RESULT_INDEX])
 
     def apply(self, operation: Operation, now: float) -> ClaimOutcome | None:
-        """Carry out one operation; ``now`` is seconds of wall time.
+        """Apply one operation; ``now`` is in seconds of wall time.
 
-        Only `TakeClaim` has an outcome. Raises `ClaimsFull`.
+        Return the outcome of an `AcquireClaim` and None for any other operation.
+        Raises `ClaimsFull` and `ClaimsUnreadable`.
         """
-        if isinstance(operation, TakeClaim):
-            return self._take(operation, now)
+        if isinstance(operation, AcquireClaim):
+            return self._acquire(operation, now)
         record = self._read(operation.claim.digest)
         if isinstance(operation, Release):
             self._release(operation, record)
@@ -155,11 +173,11 @@
             self._record(operation, record)
         return None
 
-    def _take(self, wanted: TakeClaim, now: float) -> ClaimOutcome:
+    def _acquire(self, wanted: AcquireClaim, now: float) -> ClaimOutcome:
         digest = wanted.claim.digest
         record = self._read(digest)
         if record is None:
-            if self._size_bytes > CLAIMS_LIMIT_BYTES:
+            if self._size_bytes > ADD_CLAIMS_BELOW_BYTES:
                 raise ClaimsFull("the claims' value is full", retry_after=60.0)
             record = _Record(
                 wanted.claim.nonce,
@@ -172,14 +190,14 @@
             self.changed = True
             return Claimed(wanted.claim)
         if record.nonce == wanted.claim.nonce:
-            # Our own write took effect although its answer was lost.
+            # An earlier write of this claim took effect, but its answer was lost.
             return Claimed(wanted.claim)
         if record.body_digest != wanted.body_digest:
             return KeyReused()
         if record.state is ClaimState.DONE:
             return AlreadyDone(record.request_id, record.result)
-        # A claim is never taken over, however old: its holder may be paused and
-        # act yet. The time only decides what the caller is told.
+        # A claim of any age stays with its holder, which may be paused and act later.
+        # The deadline only determines the outcome that is returned.
         if record.state is ClaimState.UNKNOWN or now > record.deadline:
             return Unknown(record.request_id)
         return InProgress(record.request_id)
@@ -196,14 +214,14 @@
 
     def _has_room_for(self, result: RecordedResult) -> bool:
         return (
-            len(result.body) <= RESULT_LIMIT_BYTES
-            and self._size_bytes <= RESULTS_LIMIT_BYTES
+            len(result.body) <= MAX_RESULT_BYTES
+            and self._size_bytes <= KEEP_RESULTS_BELOW_BYTES
         )
 
     def _release(self, operation: Release, record: _Record | None) -> None:
-        # Counts as a change even where there is no record: a write of this claim
-        # may still be on its way, and only a write that moves the key's revision
-        # makes certain that it is refused.
+        # Counts as a change even if there is no record: a write of this claim may
+        # still be in transit, and it is certain to be refused only after another
+        # write has advanced the key's revision.
         self.changed = True
         if record is not None and record.nonce == operation.claim.nonce:
             self._drop(operation.claim.digest)
@@ -225,8 +243,8 @@
         self._size_bytes -= _size_bytes(self._fields_by_digest.pop(digest))
 
 
-def _looks_sound(fields: object) -> bool:
-    """Say whether a stored claim has what pruning looks at."""
+def _is_well_formed(fields: object) -> bool:
+    """Return whether a stored claim has the fields that pruning reads."""
     return (
         isinstance(fields, list)
         and RESULT_INDEX <= len(fields) <= RESULT_INDEX + 1
@@ -235,7 +253,7 @@
 
 
 def _size_bytes(fields: list) -> int:
-    # Besides the fields: the digest, quotes and separators.
+    # The constant stands for the digest, its quotes and the separators.
     return len(json.dumps(fields, separators=(",", ":"))) + 36
 
 
--- a/cranberrywick/claims/store.py
+++ b/cranberrywick/claims/store.py
@@ -1,12 +1,13 @@
 """At-most-once claims for calls that may not be repeated.
 
 Before a non-idempotent call is sent, its ``Idempotency-Key`` is claimed in the
-platform's key-value service by compare-and-swap. Of any number of daemons that
-try, one is told `Claimed` and may send; it alone, for as long as claims are kept.
-A claim is never taken over: a holder that was paused may still act.
+platform's key-value service by compare-and-swap. Of all daemons that try, at most
+one gets `Claimed` and may send the call; no other may for as long as claims are
+kept. A claim never passes to another holder, since a holder that was paused may
+still send the call.
 
-Claims of one bucket that come together are written together: one thread writes
-for all that wait.
+Claims that reach one bucket at the same time share a write: one thread writes for
+all that wait.
 """
 
 import hashlib
@@ -14,7 +15,7 @@
 import time
 from collections.abc import Callable
 
-from cranberrywick.claims.bucket import RecordResult, Release, TakeClaim
+from cranberrywick.claims.bucket import AcquireClaim, RecordResult, Release
 from cranberrywick.claims.commit import Committer
 from cranberrywick.claims.outcomes import (
     Claim,
@@ -28,18 +29,19 @@
 
 __all__ = ["ClaimStore", "claim_digest"]
 
-# One value a bucket. Few, so that claims made together share a write; enough that
-# at one claim a second, kept a day, a value stays well under a megabyte.
+# Number of buckets, each of which is one stored value. There are few, so that
+# simultaneous claims share a write, but enough that at one claim a second, kept for a
+# day, a value stays well below a megabyte.
 BUCKETS = 64
-# 128 bits of a digest; what is kept for a day is kept short.
+# Stored length of a body's digest in hexadecimal digits: 128 bits, to save space.
 BODY_DIGEST_CHARACTERS = 32
 
 
 def claim_digest(organisation: str, key: str) -> str:
-    """Return what stands for a key in the store.
+    """Return the digest under which a key's claim is stored.
 
-    The organisation is part of it, with its length, so that no choice of key lets
-    one organisation meet another's claims.
+    The digest covers the organisation and its length, so that no choice of a key
+    lets one organisation reach the claims of another.
 
     >>> claim_digest("a", "b:c") == claim_digest("a:b", "c")
     False
@@ -51,8 +53,9 @@
 class ClaimStore:
     """Claims, results and releases over the key-value service.
 
-    ``clock`` is monotonic and ``wall_clock`` seconds since 1970. Between `start`
-    and `stop` a thread writes results and releases; `flush` does so once.
+    ``clock`` returns monotonic seconds and ``wall_clock`` seconds since 1970;
+    ``buckets`` is the number of stored values over which claims are spread. Between
+    `start` and `stop` a thread writes results and releases; `flush` does so once.
 
     >>> claims = ClaimStore(key_value)
     >>> outcome = claims.claim("kask", "order-7", body_digest, "req-1", 30.0)
@@ -82,16 +85,16 @@
         self._queue.start()
 
     def stop(self, timeout: float = 5.0) -> None:
-        """Write what is left, within ``timeout`` seconds."""
+        """Stop the thread after a last flush; wait ``timeout`` seconds at most."""
         self._queue.stop(timeout)
 
     def flush(self) -> bool:
-        """Write the results and releases that wait; say whether all were written."""
+        """Write the waiting results and releases; return whether all were written."""
         return self._queue.flush()
 
     @property
     def backlog(self) -> int:
-        """How many results and releases are not yet written."""
+        """Number of results and releases that are not written yet."""
         return self._queue.backlog
 
     def claim(
@@ -102,19 +105,20 @@
         request_id: str,
         completion_seconds: float,
     ) -> ClaimOutcome:
-        """Claim a key for one call, or say why it may not run now.
+        """Claim a key for one call; only `Claimed` allows the call to be sent.
 
-        After ``completion_seconds`` an open claim counts as unknown instead of in
-        progress. Raises `PlatformUnavailable` and `ClaimsFull`; in both cases the
-        call must not be sent, and the key can be claimed again later.
+        After ``completion_seconds`` the outcome for others that claim the key is
+        `Unknown` instead of `InProgress`, until one is recorded. Raises
+        `PlatformUnavailable` and `ClaimsFull`; in both cases the call must not be
+        sent, and the key can be claimed again later.
         """
         self._slices.refresh_if_due()
-        dated_at = self._clock()
+        slice_chosen_at = self._clock()
         digest = claim_digest(organisation, key)
         bucket_id = f"{int(digest[:8], 16) % self._buckets:04x}"
         claim = Claim(bucket_id, digest, secrets.token_hex(8))
         outcome = self._queue.write(
-            TakeClaim(
+            AcquireClaim(
                 claim,
                 body_digest[:BODY_DIGEST_CHARACTERS],
                 self._slices.newest,
@@ -122,27 +126,29 @@
                 request_id,
             )
         )
-        if self._clock() - dated_at >= SLICE_SECONDS:
-            # This process was paused for so long that its claim would be dropped
-            # before its time. Nothing was sent under it, so it can be given up.
+        if self._clock() - slice_chosen_at >= SLICE_SECONDS:
+            # This process was paused after it chose the slice, and the slice's lease
+            # may end before the retention of the claim. No call was sent under the
+            # claim, so it can be released.
             self.release(claim)
             raise PlatformUnavailable("claim is dated too early", retry_after=1.0)
         return outcome
 
     def record(self, claim: Claim, result: RecordedResult) -> None:
-        """Keep the answer of a claimed call for whoever repeats it.
+        """Record the answer of a claimed call, for replay to later calls.
 
-        It is written a little later, together with others.
+        It is written by the next `flush` or with the next claim of its bucket.
         """
-        self._queue.put_off(RecordResult(claim, result))
+        self._queue.defer(RecordResult(claim, result))
 
     def record_unknown(self, claim: Claim) -> None:
-        """Keep that the outcome of a claimed call can't be known."""
-        self._queue.put_off(RecordResult(claim, None))
+        """Record that it is unknown whether a claimed call ran."""
+        self._queue.defer(RecordResult(claim, None))
 
     def release(self, claim: Claim) -> None:
-        """Give a claim up, so that the key can be claimed again.
+        """Delete a claim, so that the key can be claimed again.
 
-        Only for the holder, and only when nothing was sent and nothing will be.
+        Only the holder may call this, and only if the call was not sent and will not
+        be sent.
         """
-        self._queue.put_off(Release(claim))
+        self._queue.defer(Release(claim))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -212,7 +212,7 @@
     assert standin.faults.wait_held("hold_next_write")
     for thread in threads[1:]:
         thread.start()
-    waiting = daemon.claims._queue._waiting_by_bucket
+    waiting = daemon.claims._queue._pending_by_bucket
     with daemon.claims._queue._changed:
         while len(waiting.get("0000", ())) < 20:
             daemon.claims._queue._changed.wait(0.01)
