--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: one holder, replayed results, and refusals that are true."""
+"""Claims: at most one holder, replayed results, refusals of calls that never ran."""
 
 import threading
 
@@ -60,10 +60,10 @@
 def test_an_open_claim_is_unknown_after_its_time_and_never_taken_over(
     daemon, other, clock
 ):
-    """The holder is paused past its deadline, and the caller repeats the call.
+    """A holder is paused past its deadline, and the caller repeats the call.
 
-    It may have sent the booking before the pause, or may do so after it. The
-    repeat is told that the outcome is unknown, and does not run.
+    The holder may have sent the booking before the pause, or may send it afterwards.
+    The repeated call must get an unknown outcome and not run.
     """
     holder = daemon.claim(request_id="first")
     clock.advance(31.0)
@@ -107,56 +107,57 @@
 
 
 def test_a_lost_answer_is_settled_by_the_nonce(daemon, other):
-    """The claim is written and the answer is lost, twice.
+    """The claim is written, and the answers to the first two writes are lost.
 
-    The same compare-and-swap is sent again and is refused with the value that
-    holds. It carries this claim's nonce, so the holder knows that it may act.
+    The same compare-and-swap is sent again and is refused with the present value.
+    The value contains this claim's nonce, so the claim is known to be held.
     """
-    daemon.key_value.fates = ["unanswered", "unanswered"]
+    daemon.key_value.write_outcomes = ["unanswered", "unanswered"]
     assert isinstance(daemon.claim(request_id="first"), Claimed)
     assert other.claim() == InProgress("first")
 
 
 def test_a_lost_write_loses_to_whoever_claims_meanwhile(daemon, other):
-    """The write is lost, and another daemon claims the key before it is repeated."""
-    daemon.key_value.fates = ["lost"]
-    daemon.meanwhile = lambda: other.claim(request_id="other")
+    """A write is lost, and another daemon claims the key before the next attempt."""
+    daemon.key_value.write_outcomes = ["lost"]
+    daemon.on_next_pause = lambda: other.claim(request_id="other")
     assert daemon.claim() == InProgress("other")
 
 
 def test_an_unsettled_claim_is_given_up_once_the_platform_answers(daemon, other):
-    """The claim is written, and then no answer comes for longer than it may take.
+    """The claim is written, and all answers are lost until the attempts time out.
 
-    The caller hears "not run" and repeats with the same key. The claim that no one
-    will ever act under must go, or the caller could not run the call for a day.
+    The caller is told that the call did not run and repeats it with the same key.
+    The claim must be released, or the caller could not run the call for a day.
     """
-    daemon.key_value.fates = ["unanswered"] + ["lost"] * 10
+    daemon.key_value.write_outcomes = ["unanswered"] + ["lost"] * 10
     with pytest.raises(PlatformUnavailable) as caught:
         daemon.claim(request_id="first")
     assert caught.value.executed is Executed.NO
     assert other.claim() == InProgress("first")
-    daemon.key_value.fates = []
+    daemon.key_value.write_outcomes = []
     assert daemon.claims.flush()
     assert isinstance(other.claim(), Claimed)
 
 
 def test_a_write_that_arrives_after_its_release_changes_nothing(daemon, other):
-    """A claim's write is delayed in the network until after it was given up.
+    """A claim's write is delayed in the network until the claim has been released.
 
-    Its caller was told "not run". Were the write accepted now, the key would be
-    held by a claim that nobody knows of; the release has moved the revision.
+    Its caller was told that the call did not run. If the write were accepted now, the
+    claim would block the key without a holder. It is refused, since the release
+    advanced the key's revision.
     """
-    daemon.key_value.fates = ["delayed"] + ["lost"] * 10
+    daemon.key_value.write_outcomes = ["delayed"] + ["lost"] * 10
     with pytest.raises(PlatformUnavailable):
         daemon.claim()
-    daemon.key_value.fates = []
+    daemon.key_value.write_outcomes = []
     assert daemon.claims.flush()
     daemon.key_value.deliver()
     assert isinstance(other.claim(), Claimed)
 
 
 def test_stale_reads_do_not_make_a_second_holder(daemon, other, standin):
-    """Reads lag, so the second daemon sees no claim; its write is refused."""
+    """Reads are stale: the second daemon reads no claim, and its write is refused."""
     daemon.claim("another key")
     standin.freeze_reads()
     assert isinstance(daemon.claim(request_id="first"), Claimed)
@@ -164,10 +165,11 @@
 
 
 def test_a_stale_list_of_slices_drops_no_claim(daemon, other, standin):
-    """A second daemon starts while lists lag behind the first daemon's slice.
+    """A second daemon starts while lists are stale and lack the first one's slice.
 
-    It sees no slice and makes its own. The first's claim is of a slice that is in
-    no list it has; taken for lapsed, the claim would be dropped and run again.
+    It reads no slice and creates its own. The first daemon's claim belongs to a slice
+    that is missing from the second one's list. If that slice counted as lapsed, the
+    claim would be dropped and the call would run again.
     """
     standin.freeze_reads()
     assert isinstance(daemon.claim(request_id="first"), Claimed)
@@ -175,7 +177,7 @@
 
 
 def test_claims_that_cannot_be_read_are_not_taken_for_none(daemon, standin):
-    """The stored value is damaged; to start afresh could run a booking twice."""
+    """The stored value is malformed; replacing it could run a booking twice."""
     daemon.claim()
     InProcessKeyValueStore(standin).put("claims/0000", '{"claims": [1]}')
     with pytest.raises(ClaimsUnreadable):
@@ -195,10 +197,10 @@
 
 
 def test_claims_made_together_share_a_write(daemon, standin):
-    """Twenty callers come while one claim is being written.
+    """Twenty claims arrive while another claim is being written.
 
-    The platform takes few writes a second. All twenty wait for the first write's
-    answer and then go in one.
+    The platform accepts few writes a second. All twenty must wait for the answer to
+    the first write and then share a second one.
     """
     daemon.claim("warm-up")
     standin.faults.set("hold_next_write", count=1)
@@ -234,7 +236,7 @@
         for number in range(100):
             daemon.claim(f"key-{number}", request_id=padding)
     assert caught.value.executed is Executed.NO
-    # What was claimed before is still known.
+    # Claims made before the bucket was full are kept.
     assert other.claim("large") == AlreadyDone("first", None)
 
 
@@ -254,9 +256,9 @@
 
 
 def test_a_wall_clock_that_jumps_drops_no_claim(daemon, standin, clock):
-    """One daemon's wall clock jumps two days ahead, and it writes the bucket.
+    """A daemon writes a bucket after its wall clock has jumped two days ahead.
 
-    Were retention measured by that clock, its write would drop every live claim,
+    If retention were measured by that clock, the write would drop every live claim,
     and a repeated booking would run a second time.
     """
     daemon.claim(request_id="first")
@@ -266,14 +268,14 @@
 
 
 def test_a_holder_paused_for_hours_does_not_act(daemon, other, clock):
-    """The process is paused between choosing the claim's slice and writing it.
+    """A process is paused between choosing a claim's slice and writing the claim.
 
-    The slice lapses sooner than the claim should. The claim is given up, and its
-    caller is told that the call did not run.
+    The slice may lapse before the claim's retention ends. The claim must be released
+    and its caller told that the call did not run.
     """
     daemon.claim("warm-up")
-    daemon.key_value.fates = ["lost"]
-    daemon.meanwhile = lambda: clock.advance(SLICE_SECONDS)
+    daemon.key_value.write_outcomes = ["lost"]
+    daemon.on_next_pause = lambda: clock.advance(SLICE_SECONDS)
     with pytest.raises(PlatformUnavailable):
         daemon.claim()
     daemon.claims.flush()
--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -1,4 +1,4 @@
-"""Whatever is lost, delayed, stale or killed, one key never has two that act."""
+"""At most one call is sent for a key under lost and delayed writes and crashes."""
 
 from collections import Counter
 
@@ -13,15 +13,18 @@
 
 DAEMONS = st.integers(0, 2)
 KEYS = st.sampled_from(["k1", "k2"])
-FATES = st.lists(st.sampled_from(["done", "lost", "unanswered", "delayed"]), max_size=8)
+WRITE_OUTCOMES = st.lists(
+    st.sampled_from(["done", "lost", "unanswered", "delayed"]), max_size=8
+)
 RESULT = RecordedResult(200, "text/plain", b"done")
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Three daemons share two keys in one bucket over a network that misbehaves.
+    """Three daemons claim two keys of one bucket while writes are lost or delayed.
 
-    A daemon acts as soon as it is told `Claimed`, unless the rule gives the claim
-    up. It stands for the booking that reaches the plain service.
+    A daemon that gets `Claimed` sends the call, such as a booking, at once, unless
+    the rule releases the claim. A call that is sent is only counted. Reads may also
+    be stale, and daemons crash.
     """
 
     def __init__(self):
@@ -29,11 +32,11 @@
         self.clock = Clock()
         self.standin = KeyValueStandIn(self.clock)
         self.daemons = [Daemon(self.standin, self.clock) for _ in range(3)]
-        self.network = [daemon.key_value for daemon in self.daemons]
-        self.acts_by_key = Counter()
+        self.stores = [daemon.key_value for daemon in self.daemons]
+        self.calls_sent_by_key = Counter()
         self.holders = []
 
-    def _claim(self, index, key, act):
+    def _claim(self, index, key, send):
         daemon = self.daemons[index]
         try:
             outcome = daemon.claim(key)
@@ -41,48 +44,50 @@
             return
         if not isinstance(outcome, Claimed):
             return
-        if act:
-            self.acts_by_key[key] += 1
+        if send:
+            self.calls_sent_by_key[key] += 1
             self.holders.append((daemon, outcome.claim))
         else:
             daemon.claims.release(outcome.claim)
 
-    @rule(index=DAEMONS, key=KEYS, fates=FATES, act=st.booleans())
-    def claim(self, index, key, fates, act):
-        self.daemons[index].key_value.fates = fates
-        self._claim(index, key, act)
-        self.daemons[index].key_value.fates = []
+    @rule(index=DAEMONS, key=KEYS, write_outcomes=WRITE_OUTCOMES, send=st.booleans())
+    def claim(self, index, key, write_outcomes, send):
+        self.daemons[index].key_value.write_outcomes = write_outcomes
+        self._claim(index, key, send)
+        self.daemons[index].key_value.write_outcomes = []
 
     @rule(
         index=DAEMONS,
         step=st.integers(1, 2),
         key=KEYS,
-        fates=FATES,
-        inner_fates=FATES,
+        write_outcomes=WRITE_OUTCOMES,
+        other_write_outcomes=WRITE_OUTCOMES,
         deliver=st.booleans(),
     )
-    def claim_while_another_claims(self, index, step, key, fates, inner_fates, deliver):
+    def claim_while_another_claims(
+        self, index, step, key, write_outcomes, other_write_outcomes, deliver
+    ):
         other = (index + step) % 3
         daemon = self.daemons[index]
 
-        def meanwhile():
-            self.daemons[other].key_value.fates = inner_fates
-            self._claim(other, key, act=True)
-            self.daemons[other].key_value.fates = []
+        def on_next_pause():
+            self.daemons[other].key_value.write_outcomes = other_write_outcomes
+            self._claim(other, key, send=True)
+            self.daemons[other].key_value.write_outcomes = []
             if deliver:
                 self.deliver()
 
-        daemon.meanwhile = meanwhile
-        daemon.key_value.fates = ["lost", *fates]
-        self._claim(index, key, act=True)
-        daemon.key_value.fates = []
-        daemon.meanwhile = None
+        daemon.on_next_pause = on_next_pause
+        daemon.key_value.write_outcomes = ["lost", *write_outcomes]
+        self._claim(index, key, send=True)
+        daemon.key_value.write_outcomes = []
+        daemon.on_next_pause = None
 
-    @rule(index=DAEMONS, fates=FATES)
-    def flush(self, index, fates):
-        self.daemons[index].key_value.fates = fates
+    @rule(index=DAEMONS, write_outcomes=WRITE_OUTCOMES)
+    def flush(self, index, write_outcomes):
+        self.daemons[index].key_value.write_outcomes = write_outcomes
         self.daemons[index].claims.flush()
-        self.daemons[index].key_value.fates = []
+        self.daemons[index].key_value.write_outcomes = []
 
     @rule()
     def record(self):
@@ -91,13 +96,13 @@
 
     @rule()
     def deliver(self):
-        for network in self.network:
-            network.deliver()
+        for store in self.stores:
+            store.deliver()
 
     @rule(index=DAEMONS)
     def crash(self, index):
         self.daemons[index] = Daemon(self.standin, self.clock)
-        self.network.append(self.daemons[index].key_value)
+        self.stores.append(self.daemons[index].key_value)
 
     @rule(stale=st.booleans())
     def change_staleness(self, stale):
@@ -106,12 +111,14 @@
             self.standin.freeze_reads()
 
     @rule(seconds=st.floats(0, 100))
-    def time_passes(self, seconds):
+    def advance_clock(self, seconds):
         self.clock.advance(seconds)
 
     @invariant()
-    def no_key_is_acted_on_twice(self):
-        assert all(acts <= 1 for acts in self.acts_by_key.values()), self.acts_by_key
+    def no_call_is_sent_twice(self):
+        assert all(calls_sent <= 1 for calls_sent in self.calls_sent_by_key.values()), (
+            self.calls_sent_by_key
+        )
 
 
 TestClaimMachine = ClaimMachine.TestCase
