--- a/tests/test_endpoints_client.py
+++ b/tests/test_endpoints_client.py
@@ -1,4 +1,4 @@
-"""Sending to one endpoint: what is said to have run, and whose answer is passed on."""
+"""Sending to one endpoint: whether a call ran, and that answers are not mixed up."""
 
 import json
 import socket
@@ -60,7 +60,7 @@
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
 
-def test_stream_arrives_whole(fast_engine):
+def test_stream_is_complete(fast_engine):
     answer = send(fast_engine.address, completion())
     body = read(answer)
     assert event_numbers(body) == list(range(7))
@@ -68,7 +68,7 @@
     assert answer.output_tokens == 6
 
 
-def test_plain_answer_arrives_whole(fast_engine):
+def test_plain_answer_is_complete(fast_engine):
     answer = send(fast_engine.address, completion(stream=False))
     assert json.loads(read(answer))["id"] == "r1.1"
     assert answer.output_tokens == 6
@@ -93,10 +93,11 @@
     assert refused.value.retry_after == 1.0
 
 
-def test_answer_of_another_request_is_not_passed_on(booking_service):
-    """The endpoint crosses two answers: the caller must not read another's booking.
+def test_answer_of_another_request_is_not_forwarded(booking_service):
+    """An endpoint mixes up two answers and returns another caller's booking.
 
-    The booking ran, so the failure says that whether it ran is unknown.
+    The caller must not receive it. Its own booking ran, but the answer does not show
+    that, so the error must state that it is unknown whether the booking ran.
     """
     booking_service.standin.faults.set("cross", count=1, request_id="b2")
     with pytest.raises(AnswerLost) as lost:
