--- a/tests/test_endpoints_failures.py
+++ b/tests/test_endpoints_failures.py
@@ -1,4 +1,4 @@
-"""Failures forced on endpoints that run as processes of their own."""
+"""Failures of endpoints that run as separate processes."""
 
 import json
 import signal
@@ -19,26 +19,26 @@
 
 
 class EndpointProcess:
-    """A stand-in as a process, and its side door for faults."""
+    """A stand-in endpoint in its own process, with requests that inject faults."""
 
     def __init__(self, kind, *options):
         command = [sys.executable, "-m", f"cranberrywick.standin.{kind}", *options]
         self.process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
         self.address = self.process.stdout.readline().split()[1]
 
-    def ask(self, method, path, /, **body):
+    def request_json(self, method, path, /, **body):
         url = f"http://{self.address}{path}"
         return urllib3.request(method, url, json=body or None, retries=False).json()
 
-    def fault(self, kind, **details):
-        self.ask("POST", "/faults", kind=kind, **details)
+    def inject_fault(self, kind, **details):
+        self.request_json("POST", "/faults", kind=kind, **details)
 
-    def release(self, kind):
-        self.ask("DELETE", f"/faults?kind={kind}")
+    def clear_fault(self, kind):
+        self.request_json("DELETE", f"/faults?kind={kind}")
 
     def wait_held(self, kind):
         deadline = time.monotonic() + WAIT_SECONDS
-        while not self.ask("GET", "/faults")["held"].get(kind):
+        while not self.request_json("GET", "/faults")["held"].get(kind):
             assert time.monotonic() < deadline, f"nothing was held by {kind}"
             time.sleep(0.01)
 
@@ -101,13 +101,13 @@
         answer.close()
 
 
-def test_late_answer_finds_no_reader(booking_service):
-    """The first booking's answer is held past its time, then let go.
+def test_late_answer_is_not_received_by_another_call(booking_service):
+    """The answer to a first booking is held back until the booking has timed out.
 
-    Its caller is told "unknown". The second booking is sent before the late answer
-    leaves: it must receive its own answer, not the first one's.
+    Its caller is told that the outcome is unknown. A second booking is sent before
+    the late answer is released, and must receive its own answer, not the late one.
     """
-    booking_service.fault("hold_next_answer", count=1, path="/slots")
+    booking_service.inject_fault("hold_next_answer", count=1, path="/slots")
     with ThreadPoolExecutor(1) as pool:
         first = pool.submit(send, booking_service.address, booking("first", 1.0))
         booking_service.wait_held("hold_next_answer")
@@ -115,70 +115,72 @@
             first.result()
     assert late.value.executed is Executed.UNKNOWN
     answer = send(booking_service.address, booking("second"))
-    booking_service.release("hold_next_answer")
+    booking_service.clear_fault("hold_next_answer")
     assert json.loads(read(answer))["key"] == "second"
 
 
-def test_crossed_answer_is_refused(booking_service):
+def test_answer_of_another_request_is_refused(booking_service):
     """The service answers with the ids of another request.
 
-    The caller is told that its own answer is lost and may have run; it never reads
-    the other's body.
+    The caller must be told that its answer is lost and that it is unknown whether the
+    booking ran. It must not receive the body.
     """
-    booking_service.fault("cross", count=1, request_id="other")
+    booking_service.inject_fault("cross", count=1, request_id="other")
     with pytest.raises(AnswerLost) as crossed:
         send(booking_service.address, booking("mine"))
     assert crossed.value.executed is Executed.UNKNOWN
 
 
-def test_cut_answer_is_unknown_and_not_repeated(booking_service):
-    """The booking runs; its answer breaks off in the middle of its body.
+def test_truncated_answer_is_unknown_and_not_repeated(booking_service):
+    """The booking runs; its answer breaks off in the middle of the body.
 
-    The caller is told "unknown", and the call is not sent again: a repeat would
-    book a second slot.
+    The caller must be told that the outcome is unknown, and the call must not be sent
+    again: that could book a second slot.
     """
-    booking_service.fault("cut", count=1, path="/slots")
+    booking_service.inject_fault("cut", count=1, path="/slots")
     answer = send(booking_service.address, booking("b1"))
     with pytest.raises(AmbiguousSend) as broken:
         read(answer)
     assert broken.value.executed is Executed.UNKNOWN
-    assert booking_service.ask("GET", "/bookings")["by_key"] == {"b1": 1}
+    assert booking_service.request_json("GET", "/bookings")["by_key"] == {"b1": 1}
 
 
 @pytest.mark.parametrize(
     ("fault", "runs"), [("drop_next_answer", 1), ("lose_next_request", 0)]
 )
 def test_answer_without_the_calls_ids_is_unknown(booking_service, fault, runs):
-    """An answer without ids comes, once after the booking ran and once before.
+    """The answer lacks the ids; the booking ran in one case and not in the other.
 
-    From here the two look alike, so that both are "unknown" and not sent again.
+    The client can't distinguish the two, so for both the outcome must be unknown and
+    the call must not be sent again.
     """
-    booking_service.fault(fault, count=1, path="/slots")
+    booking_service.inject_fault(fault, count=1, path="/slots")
     with pytest.raises(AnswerLost) as lost:
         send(booking_service.address, booking("b1"))
     assert lost.value.executed is Executed.UNKNOWN
-    by_key = booking_service.ask("GET", "/bookings")["by_key"]
+    by_key = booking_service.request_json("GET", "/bookings")["by_key"]
     assert by_key.get("b1", 0) == runs
 
 
-def test_untyped_503_is_not_taken_for_not_run(booking_service):
-    """The endpoint answers 503 with a reason that does not mean "not run".
+def test_untyped_503_does_not_count_as_not_run(booking_service):
+    """The endpoint answers 503 with an error type that is not a refusal.
 
-    Such an answer may come from behind the endpoint, after the booking ran.
+    Such an answer may come from a server behind the endpoint after the booking ran,
+    so the outcome must be unknown.
     """
-    booking_service.fault("refuse", count=1, reason="upstream_gave_up")
+    booking_service.inject_fault("refuse", count=1, reason="upstream_gave_up")
     with pytest.raises(AmbiguousSend) as answered:
         send(booking_service.address, booking("b1"))
     assert answered.value.executed is Executed.UNKNOWN
 
 
-def test_service_killed_while_it_answers(booking_service):
-    """The service dies on receiving the booking, before any answer.
+def test_service_killed_before_it_answers(booking_service):
+    """The service's process dies on receiving a booking, before it answers.
 
-    The caller learns at once that the outcome is unknown; a new call afterwards
-    finds nobody and is "not run".
+    The caller must be told without delay that the outcome is unknown. A new call
+    afterwards gets no connection and must be refused as not run.
     """
-    booking_service.fault("die", count=1, path="/slots")
+    booking_service.inject_fault("die", count=1, path="/slots")
     with pytest.raises(AmbiguousSend):
         send(booking_service.address, booking("b1"))
     booking_service.process.wait()
@@ -187,10 +189,10 @@
     assert refused.value.reason is EndpointRefusal.UNREACHABLE
 
 
-def test_engine_killed_in_mid_stream(model_engine):
-    """SIGKILL reaches the engine after some events; the stream can't be resumed.
+def test_engine_killed_during_a_stream(model_engine):
+    """SIGKILL ends the engine in the middle of a stream, which can't be resumed.
 
-    The caller keeps what it received and is told that the answer is lost.
+    The caller has received the first event and must be told that the answer is lost.
     """
     answer = send(model_engine.address, completion("r1", 10_000))
     chunks = answer.chunks()
@@ -203,9 +205,9 @@
 
 
 def test_paused_engine_ends_with_the_deadline(model_engine):
-    """SIGSTOP pauses the engine after its first event: the connection stays open.
+    """SIGSTOP pauses the engine after its first event; its connections stay open.
 
-    No error arrives; only the request's own deadline ends the wait.
+    No error arrives, so the request's deadline must end the wait.
     """
     answer = send(model_engine.address, completion("r1", 10_000, seconds=1.5))
     chunks = answer.chunks()
@@ -218,9 +220,9 @@
     answer.close()
 
 
-def test_stream_cut_for_good_is_not_a_short_answer(model_engine):
-    """Every stream ends cleanly after event 2, without its end mark, resumes too."""
-    model_engine.fault("cut_stream", after=2)
+def test_truncated_stream_is_not_a_short_answer(model_engine):
+    """The stream and its resumes all close cleanly after event 2, without [DONE]."""
+    model_engine.inject_fault("cut_stream", after=2)
     answer = send(model_engine.address, completion("r1", 20))
     received = []
     with pytest.raises(AnswerLost):
@@ -229,19 +231,19 @@
     answer.close()
 
 
-def test_end_without_token_count_is_not_whole(model_engine):
-    """The end mark arrives, but the event with the usage never did."""
-    model_engine.fault("no_usage")
+def test_end_without_token_count_is_incomplete(model_engine):
+    """The stream ends with [DONE], but the event with the token usage is missing."""
+    model_engine.inject_fault("no_usage")
     with pytest.raises(AnswerLost):
         read(send(model_engine.address, completion("r1", 3)))
 
 
 def test_abandoned_answer_frees_the_engine(model_engine):
-    """The daemon closes an answer that it has not read to the end."""
+    """An answer is closed before its end; the engine must stop generating it."""
     answer = send(model_engine.address, completion("r1", 10_000))
     answer.close()
     deadline = time.monotonic() + WAIT_SECONDS
-    while model_engine.ask("GET", "/state")["cancelled"] != 1:
+    while model_engine.request_json("GET", "/state")["cancelled"] != 1:
         assert time.monotonic() < deadline
         time.sleep(0.01)
-    assert model_engine.ask("GET", "/v1/streams")["streams"] == []
+    assert model_engine.request_json("GET", "/v1/streams")["streams"] == []
