--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay between a real HTTP front and an engine: whole, cut, stalled, unread."""
+"""The relay between a real HTTP front and an engine, with failures of either side."""
 
 import contextlib
 import json
@@ -16,11 +16,11 @@
 from cranberrywick.standin import engine
 
 WAIT_SECONDS = 20.0
-EVENT_BYTES = 140  # the least that one of the engine's events takes
+EVENT_BYTES = 140  # smallest size of one of the engine's events
 
 
 def wait_until(condition):
-    """Poll for a condition; the bound only ends a test that has failed."""
+    """Poll until a condition holds; fail after `WAIT_SECONDS`."""
     deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
         assert time.monotonic() < deadline, "the condition never came true"
@@ -28,14 +28,17 @@
 
 
 class Front:
-    """An HTTP front with nothing but the relay in it."""
+    """An HTTP server that forwards each request's stream through a relay.
+
+    ``outcomes`` lists how requests ended: ``completed`` or the type of an error.
+    """
 
     def __init__(self, engine_address, remaining_seconds=WAIT_SECONDS, **settings):
         self.engine_address = engine_address
         self.remaining_seconds = remaining_seconds
         self.outcomes = []
         self.gaps = []
-        self.gap_fails = False
+        self.fail_next_gap = False
         self.last_events_by_id = {}
         self.relay = Relay()
         self.relay.start()
@@ -61,7 +64,7 @@
         answer = None
         try:
             answer = send(self.engine_address, call)
-            self.relay.pump(answer, write, disconnected, on_gap=self.note_gap)
+            self.relay.pump(answer, write, disconnected, on_gap=self.record_gap)
             self.outcomes.append("completed")
         except CranberrywickError as failure:
             self.outcomes.append(failure.type)
@@ -73,20 +76,20 @@
                 answer.close()
         return []
 
-    def note_gap(self, seconds):
+    def record_gap(self, seconds):
         self.gaps.append(seconds)
-        if self.gap_fails:
-            self.gap_fails = False
+        if self.fail_next_gap:
+            self.fail_next_gap = False
             raise KeyError("a fault in the daemon")
 
-    def open(self, request_id, tokens, prompt="a short prompt", reads=True):
+    def open(self, request_id, tokens, prompt="a short prompt", reads_answer=True):
         """Connect, send a streamed request and return the socket."""
         body = {"stream": True, "max_tokens": tokens}
         messages = [{"role": "user", "content": prompt}]
         payload = json.dumps({**body, "messages": messages}).encode()
         sock = socket.socket()
-        if not reads:
-            # The smallest buffer the kernel gives, so that it is soon felt.
+        if not reads_answer:
+            # The kernel raises 1 to its smallest buffer, which then fills up early.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
         sock.settimeout(WAIT_SECONDS)
         sock.connect(("127.0.0.1", int(self.server.effective_port)))
@@ -118,8 +121,8 @@
         return front, source.standin
 
     yield make
-    for each in running:
-        each.stop()
+    for resource in running:
+        resource.stop()
 
 
 def read_all(sock):
@@ -135,7 +138,7 @@
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
 
-def test_many_streams_arrive_whole_and_apart(make_front):
+def test_many_streams_are_complete_and_not_mixed_up(make_front):
     front, _ = make_front()
     socks = [front.open(f"r{number}", 20) for number in range(8)]
     for number, sock in enumerate(socks):
@@ -148,11 +151,11 @@
 
 @pytest.mark.parametrize("fault", ["drop_stream", "cut_stream"])
 def test_broken_stream_is_resumed_where_it_broke(make_front, fault):
-    """The engine's connection breaks, or ends as if all were well, after event 3.
+    """The engine's connection breaks, or closes cleanly, after event 3.
 
-    The relay asks the engine for what follows event 3; the caller receives every
-    event once and the end mark, and never learns of the break. The time between the
-    last event before and the first one after it counts as a gap.
+    The relay must resume the stream after event 3, so that the caller receives every
+    event once and the end mark. The time between the last event before the break and
+    the first one after it counts as a gap.
     """
     front, source = make_front()
     source.faults.set(fault, count=1, after=3)
@@ -176,11 +179,12 @@
         ("cut_stream", {"after": 1}),
     ],
 )
-def test_answer_that_stays_wrong_fails_typed(make_front, fault):
-    """Event 2 is another request's, or missing, or the stream stops before it.
+def test_fault_in_every_resume_ends_with_typed_error(make_front, fault):
+    """Event 2 is another request's, or missing, or the stream ends before it.
 
-    Both resumes meet the same fault. The caller receives the events before it, then
-    a typed error event and no end mark; never the other request's text.
+    Both resumes fail in the same way. The caller must receive the events before the
+    fault, then a typed error event without an end mark, and never the text of the
+    other request.
     """
     front, source = make_front()
     kind, details = fault
@@ -191,11 +195,11 @@
     assert b"[DONE]" not in body and b"another.1" not in body
 
 
-def test_stream_that_outlives_its_time_fails_typed(make_front):
-    """The engine stalls after the first tokens and the class's time passes.
+def test_stream_past_its_deadline_ends_with_typed_error(make_front):
+    """The engine stalls after the first tokens until the deadline has passed.
 
-    The caller is told at that time with a typed event, and the engine's stream is
-    cancelled, so that its memory comes back.
+    The caller must then receive a typed error event, and the stream must be cancelled
+    at the engine, which frees its memory.
     """
     front, source = make_front(decode_rate=0.5, remaining_seconds=0.5)
     body = read_all(front.open("r1", 50))
@@ -206,8 +210,8 @@
 def test_caller_that_hangs_up_in_a_stream_cancels_it(make_front):
     """A caller closes its connection in the middle of a long stream.
 
-    The relay sees it at the next write or tick, and cancels at the engine, which
-    would otherwise generate thousands of tokens for nobody.
+    The relay must notice it at the next write or check and cancel the stream, for
+    which the engine would otherwise generate thousands of unused tokens.
     """
     front, source = make_front(decode_rate=20.0)
     sock = front.open("r1", 10_000)
@@ -220,9 +224,10 @@
 
 
 def test_caller_that_hangs_up_during_prefill_cancels_it(make_front):
-    """The caller goes while the engine still reads a long prompt: no byte has come.
+    """A caller disconnects during prefill, before the engine has sent any byte.
 
-    Nothing is written that could fail, so the wait itself looks for the caller.
+    No write to the caller can fail yet, so the wait for the engine must itself check
+    the caller's connection.
     """
     front, source = make_front(prefill_rate=1.0)
     sock = front.open("r1", 10, prompt="word " * 1000)
@@ -232,15 +237,15 @@
     wait_until(lambda: front.outcomes == ["caller_gone"])
 
 
-def test_caller_that_does_not_read_is_stopped_and_holds_nobody(make_front):
-    """One caller never reads its long answer while others stream beside it.
+def test_caller_that_does_not_read_is_cut_off_and_delays_no_other(make_front):
+    """One caller never reads its long answer while others receive theirs.
 
-    Its unread bytes reach the relay's limit; its stream is cancelled and all the
-    other answers arrive whole. Nothing blocks the relay's thread meanwhile, and
-    what was held for it, in the kernel too, stays below a megabyte.
+    When its unread bytes reach the relay's limit, its stream must be cancelled. The
+    relay's thread must not block: all other answers must be complete. The bytes held
+    for this caller, including those in the kernel, must stay below a megabyte.
     """
     front, source = make_front(decode_rate=100_000.0)
-    unread = front.open("unread", 200_000, reads=False)
+    unread = front.open("unread", 200_000, reads_answer=False)
     for number in range(5):
         body = read_all(front.open(f"r{number}", 50))
         assert body.endswith(b"data: [DONE]\n\n")
@@ -252,9 +257,9 @@
 
 
 def test_large_prompt_is_not_written_to_a_file(make_front, monkeypatch):
-    """A million-token prompt of 8 MB arrives at a VM whose files are memory.
+    """A prompt of a million tokens and 8 MB arrives at a VM that keeps files in memory.
 
-    The server's default spills a body past 512 KB to a temporary file.
+    By default the server writes a body of more than 512 KB to a temporary file.
     """
 
     def refuse(*args, **kwargs):
@@ -267,23 +272,23 @@
 
 
 def test_fault_in_one_stream_does_not_end_the_relay(make_front):
-    """A callback of one stream raises an error that nobody foresaw.
+    """A callback of one stream raises an unexpected error.
 
-    That stream is taken up again; the thread that serves all streams goes on.
+    That stream must be resumed, and the thread that serves all streams must continue.
     """
     front, _ = make_front()
-    front.gap_fails = True
+    front.fail_next_gap = True
     for request_id in ("r1", "r2"):
         body = read_all(front.open(request_id, 50))
         assert event_numbers(body) == list(range(51))
-    assert not front.gap_fails
+    assert not front.fail_next_gap
 
 
 def chunk(data):
     return b"%X\r\n%b\r\n" % (len(data), data)
 
 
-GOOD_EVENT = b'id: 0\ndata: {"id": "r1.1"}\n\n'
+VALID_EVENT = b'id: 0\ndata: {"id": "r1.1"}\n\n'
 
 
 @pytest.mark.parametrize(
@@ -293,25 +298,25 @@
         b"zz\r\n",
         b"3\r\nabcde",
         chunk(b"\n" * 32),
-        chunk(GOOD_EVENT + b"no event\n\n"),
+        chunk(VALID_EVENT + b"no event\n\n"),
     ],
     ids=["endless head", "no length", "no end", "no event", "one good event"],
 )
-def test_nonsense_in_place_of_a_stream_fails_typed(body):
-    """The engine's head is right; what follows has no chunk that ends, or no event.
+def test_malformed_body_ends_with_typed_error(body):
+    """The engine's headers are valid, but its body is not a chunked stream of events.
 
-    The relay gives the stream up at once, in place of gathering it for ever.
+    The relay must end the stream at once and not buffer the body without limit.
     """
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        threading.Thread(target=answer_nonsense, args=(listener, body)).start()
+        threading.Thread(target=serve_malformed_body, args=(listener, body)).start()
         front = Front(f"127.0.0.1:{listener.getsockname()[1]}")
         received = read_all(front.open("r1", 5))
         assert b'"answer_lost"' in received
         front.stop()
 
 
-def answer_nonsense(listener, body):
-    """Serve one stream of nonsense and refuse to resume it."""
+def serve_malformed_body(listener, body):
+    """Answer one request with ``body`` and accept no connection for a resume."""
     sock, _ = listener.accept()
     listener.close()
     sock.recv(65536)
@@ -319,7 +324,8 @@
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         b"Transfer-Encoding: chunked\r\nX-Request-Id: r1\r\nX-Attempt: 1\r\n\r\n" + body
     )
-    # Open until the other side closes: a close would end the stream by itself.
+    # Stay open until the relay closes the connection: closing it here would end the
+    # stream without the check that is tested.
     with contextlib.suppress(ConnectionResetError):
         while sock.recv(65536):
             pass
