--- a/cranberrywick/endpoints/cancel.py
+++ b/cranberrywick/endpoints/cancel.py
@@ -27,9 +27,9 @@
 # sweep ends the streams whose cancels find the queue full.
 QUEUE_LIMIT = 256
 THREADS = 2
-# Time for which the sweep checks an engine after a cancel or release there, in
-# seconds.  It covers several sweeps and the grace period that the sweep allows for
-# items of a request that has ended.
+# Time for which the sweep checks an engine after a stream was ended or memory freed
+# there, in seconds.  It covers several sweeps and the grace period that the sweep
+# allows for items of a request that has ended.
 CLEANUP_SECONDS = 30.0
 
 
@@ -53,7 +53,7 @@
 
 
 class Cleanups:
-    """Addresses of engines at which this daemon recently cancelled or released.
+    """Addresses of engines where this daemon recently ended streams or freed memory.
 
     A cancel may be lost by the network or by the engine. The daemon that sweeps the
     engine does not end the stream, since its owner, the daemon that sent the
@@ -67,7 +67,7 @@
         self._time_by_address: dict[str, float] = {}
 
     def record(self, address: str) -> None:
-        """Record a cancel or release at an engine, at the present time."""
+        """Record that a stream was ended or memory freed at an engine just now."""
         with self._lock:
             self._time_by_address[address] = self._clock()
 
--- a/cranberrywick/endpoints/orders.py
+++ b/cranberrywick/endpoints/orders.py
@@ -1,4 +1,4 @@
-"""Sends orders to endpoints, one daemon at a time, even when a daemon was paused.
+"""Sends orders to endpoints, one daemon at a time, safely even if one is paused.
 
 An order is sent under a lease on the key ``orders/ENDPOINT``. The revision at which
 the key was written is the order's fencing token: revisions only grow, so an endpoint
@@ -8,8 +8,9 @@
 clock could send its order on resuming, long after another daemon sent a later one.
 For an endpoint without the check, the order is therefore sent only in the first part
 of the lease, on the connection on which the endpoint's state was read, and never on
-a new one. Such an endpoint closes idle connections sooner than the rest of the lease
-lasts, so a paused holder finds its connection closed and its order does not arrive.
+a new one. This relies on the endpoint to close idle connections sooner than the rest
+of the lease lasts: a holder that was paused until the lease ended finds its connection
+closed, and its order does not arrive.
 
 An order names the wanted state, and the daemons compare it with the reported state
 repeatedly. This corrects an outdated order that arrived in spite of these measures.
@@ -143,7 +144,7 @@
     seconds.
 
     >>> order = Order("engine-1", OrderKind.LOAD_MODEL, "drafter", "2")
-    >>> order_sender.give(endpoint, order)
+    >>> order_sender.give(endpoint, order, limit=4)
     InForce(incarnation=3, was_ordered=True)
     """
 
