--- a/cranberrywick/endpoints/client.py
+++ b/cranberrywick/endpoints/client.py
@@ -36,8 +36,7 @@
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 MAX_REFUSAL_BYTES = 4096
 READ_BYTES = 65536
-# Upper bound on an endpoint's ``Retry-After``, in seconds; larger values are cut to
-# it.
+# Upper bound on an endpoint's ``Retry-After``, in seconds; larger values are capped.
 MAX_RETRY_AFTER_SECONDS = 3600.0
 # Number of times that one stream is resumed.
 RESUME_ATTEMPTS = 2
@@ -114,7 +113,7 @@
             yield self._read_completion()
         else:
             yield from self._iter_body()
-        self.completed()
+        self.mark_completed()
 
     def cancel(self) -> None:
         """Close the connection and end the stream, so that the engine frees memory.
@@ -170,7 +169,7 @@
         if self._response.status != 200:
             raise AnswerLost("the broken stream is gone")
 
-    def completed(self) -> None:
+    def mark_completed(self) -> None:
         """Record that the whole answer was forwarded; `close` then cancels nothing."""
         self._complete = True
 
--- a/cranberrywick/endpoints/relay.py
+++ b/cranberrywick/endpoints/relay.py
@@ -220,7 +220,7 @@
             failure = _wait_for_end(stream, on_first)
             last_write = stream.last_write
             if failure is None:
-                answer.completed()
+                answer.mark_completed()
                 return
             if not isinstance(failure, AnswerLost):
                 raise failure
