--- a/cranberrywick/claims/bucket.py
+++ b/cranberrywick/claims/bucket.py
@@ -26,20 +26,20 @@
 
 __all__ = ["AcquireClaim", "Bucket", "Operation", "RecordResult", "Release"]
 
-# The store accepts values of up to 1 MiB. In a bucket above the first size, results
-# are no longer kept; above the second, no claim is added. The rest is room for the
-# additions of one batch.
+# The store accepts values of up to 1 MiB. A bucket above the first size keeps no
+# further results, one above the second accepts no further claims. The rest is room
+# for the additions of one batch.
 KEEP_RESULTS_BELOW_BYTES = 640 << 10
 ADD_CLAIMS_BELOW_BYTES = 896 << 10
-# Largest answer that is kept for replay. That of a booking has some hundred bytes.
+# Largest answer that is kept for replay. That of a booking has a few hundred bytes.
 MAX_RESULT_BYTES = 4 << 10
 
 
 class ClaimState(StrEnum):
     """State of a claimed call.
 
-    A call is open until its outcome is recorded; done if it is known that the call
-    ran, and unknown if that can't be found out.
+    A call is open until its outcome is recorded: done if the call is known to have
+    run, otherwise unknown.
     """
 
     OPEN = "open"
