--- a/cranberrywick/endpoints/events.py
+++ b/cranberrywick/endpoints/events.py
@@ -25,7 +25,7 @@
     within the stream.
 
     >>> error_event(AnswerLost("the stream broke off"), "r1")[:13]
-    b'event: error\n'
+    b'event: error\\n'
     """
     body = json.dumps({"error": error.body(request_id)})
     return f"event: error\ndata: {body}\n\n".encode()
