--- a/cranberrywick/configuration/document.py
+++ b/cranberrywick/configuration/document.py
@@ -1,8 +1,9 @@
 """The operators' configuration: organisations, classes, models and services.
 
-`check` turns a decoded JSON document into a `Configuration`, first by schema, then
-by meaning. A document that passes holds targets only; weights, addresses and VMs
-have no place in it.
+`check` validates a decoded JSON document, first against the JSON schema in
+``document.json``, then against the rules that a schema can't express, and returns a
+`Configuration`. Operators state targets and what endpoints can do; the document has
+no fields for weights, addresses or VMs.
 """
 
 import json
@@ -11,7 +12,7 @@
 
 from jsonschema import Draft202012Validator
 
-from cranberrywick.configuration.meaning import problems_of_meaning
+from cranberrywick.configuration.meaning import semantic_problems
 from cranberrywick.configuration.schema import Problem, first_problem
 from cranberrywick.errors import InvalidConfiguration
 from cranberrywick.model import ClassTargets, Endpoint, EndpointKind
@@ -27,7 +28,8 @@
     "check_text",
 ]
 
-# The store takes values of 1 MiB; the envelope around the document needs a little.
+# Largest document, in bytes: the key-value service stores values of up to 1 MiB, and
+# 4 KiB of that is left for the envelope around the document (`to_text`).
 DOCUMENT_LIMIT_BYTES = (1 << 20) - 4096
 
 _SCHEMA = json.loads(
@@ -37,9 +39,10 @@
 
 
 class Model(NamedTuple):
-    """A model that callers can name; ``class_name`` is the class by default.
+    """A model that callers can name.
 
-    ``versions`` are in the operators' order, the one to prefer first.
+    ``class_name`` is the class of a request that names the model without a class;
+    ``versions`` are in order of preference, the preferred one first.
     """
 
     name: str
@@ -50,37 +53,41 @@
 
 
 class ServiceCall(NamedTuple):
-    """One call of a plain service; ``{...}`` in its path stands for one segment."""
+    """One call of a plain service.
+
+    A ``{...}`` segment of ``path`` matches any one segment that is not empty;
+    ``idempotent`` says whether the call may be run more than once.
+    """
 
     method: str
     path: str
     idempotent: bool
 
     def matches(self, method: str, path: str) -> bool:
-        """Say whether a request is this call.
+        """Return whether a request is this call.
 
         >>> ServiceCall("POST", "/slots/{id}", False).matches("POST", "/slots/7")
         True
         """
         if method != self.method:
             return False
-        wanted = self.path.split("/")
-        found = path.split("/")
-        return len(wanted) == len(found) and all(
-            want == have or (want.startswith("{") and have != "")
-            for want, have in zip(wanted, found, strict=True)
+        patterns = self.path.split("/")
+        segments = path.split("/")
+        return len(patterns) == len(segments) and all(
+            pattern == segment or (pattern.startswith("{") and segment != "")
+            for pattern, segment in zip(patterns, segments, strict=True)
         )
 
 
 class Service(NamedTuple):
-    """A plain service that stands beside the engines."""
+    """A plain service: its endpoints answer calls and load no models."""
 
     name: str
     class_name: str
     calls: tuple[ServiceCall, ...]
 
     def call_for(self, method: str, path: str) -> ServiceCall | None:
-        """Return the first call that a request matches."""
+        """Return the first call that a request matches, or None."""
         for call in self.calls:
             if call.matches(method, path):
                 return call
@@ -88,7 +95,12 @@
 
 
 class EndpointProfile(NamedTuple):
-    """What endpoints of one kind can do; rates are tokens a second."""
+    """What endpoints of one kind can do.
+
+    ``slots`` is how many requests an endpoint serves at a time, ``cold_slots`` the
+    same while it is cold. ``checks_fencing`` says that it refuses old fencing
+    numbers. Rates are in tokens a second and the cache's size is in tokens.
+    """
 
     name: str
     kind: EndpointKind
@@ -103,7 +115,11 @@
 
 
 class Configuration(NamedTuple):
-    """An accepted configuration; key digests are SHA-256 in lower-case hex."""
+    """An accepted configuration.
+
+    Key digests are the SHA-256 of callers' keys in lower-case hex. ``domains_out``
+    are the failure domains that operators have taken out of service.
+    """
 
     organisation_by_key_digest: dict[str, str]
     targets_by_class: dict[str, ClassTargets]
@@ -117,13 +133,17 @@
 
 
 def check_text(text: str | bytes) -> Configuration:
-    """Check a document that is still JSON text; raises `InvalidConfiguration`."""
+    """Return the configuration that a JSON text holds.
+
+    Raises `InvalidConfiguration` when the text is longer than
+    `DOCUMENT_LIMIT_BYTES`, is not JSON, or does not pass `check`.
+    """
     size = len(text.encode() if isinstance(text, str) else text)
     if size > DOCUMENT_LIMIT_BYTES:
         wanted = f"at most {DOCUMENT_LIMIT_BYTES} bytes"
         raise InvalidConfiguration(str(Problem("$", f"{size} bytes", wanted)))
     try:
-        # RecursionError: brackets nested thousands deep.
+        # Brackets nested thousands deep raise RecursionError.
         document = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise InvalidConfiguration(f"$: is not JSON: {error}") from error
@@ -133,8 +153,8 @@
 def check(document: object) -> Configuration:
     """Return the configuration that a decoded JSON document holds.
 
-    Raises `InvalidConfiguration` naming the JSON path, the value, and what would
-    do instead:
+    Raises `InvalidConfiguration` with the JSON path of the first problem, the value
+    found there and what is expected instead:
 
     >>> check({"classes": {"summary": {"first_token_seconds": -1}}})
     Traceback (most recent call last):
@@ -143,7 +163,7 @@
     """
     problem = first_problem(_VALIDATOR, document)
     if problem is None:
-        problem = next(problems_of_meaning(document), None)
+        problem = next(semantic_problems(document), None)
     if problem is not None:
         raise InvalidConfiguration(str(problem))
     return _build(document)
@@ -192,18 +212,19 @@
     return Service(name, fields["class"], calls)
 
 
-# What a kind leaves out has the nominal figure of `Endpoint`. A plain service has
-# no rates at all, and a zero here made each of its calls fail in a division.
-_NOMINAL_FIELDS = (
+# A kind that leaves out one of these fields gets the default of `Endpoint`. Plain
+# services leave out all three; with zero as the default each of their calls failed
+# with a division by zero.
+_FIELDS_WITH_DEFAULT = (
     "prefill_tokens_per_second",
     "decode_tokens_per_second",
     "cache_tokens",
 )
 
 
-def _or_nominal(fields: dict, name: str) -> float:
-    nominal = Endpoint._field_defaults[name]
-    return type(nominal)(fields.get(name, nominal))
+def _value_or_default(fields: dict, name: str) -> float:
+    default = Endpoint._field_defaults[name]
+    return type(default)(fields.get(name, default))
 
 
 def _profile(name: str, fields: dict) -> EndpointProfile:
@@ -215,5 +236,5 @@
         fields.get("checks_fencing", False),
         fields["slots"],
         fields.get("cold_slots", 1),
-        *(_or_nominal(fields, name) for name in _NOMINAL_FIELDS),
+        *(_value_or_default(fields, name) for name in _FIELDS_WITH_DEFAULT),
     )
--- a/cranberrywick/configuration/meaning.py
+++ b/cranberrywick/configuration/meaning.py
@@ -1,15 +1,15 @@
-"""Checks of a configuration that a schema can't express."""
+"""Rules of a configuration document that a JSON schema can't express."""
 
 import math
 from collections.abc import Iterator
 
 from cranberrywick.configuration.schema import Problem, json_path
 
-__all__ = ["problems_of_meaning"]
+__all__ = ["semantic_problems"]
 
 
-def problems_of_meaning(document: dict) -> Iterator[Problem]:
-    """Yield what is wrong with a document that the schema has passed."""
+def semantic_problems(document: dict) -> Iterator[Problem]:
+    """Yield the problems of a document that is valid by its schema."""
     yield from _number_problems(document, ())
     yield from _target_problems(document)
     yield from _key_problems(document)
@@ -19,7 +19,7 @@
 
 
 def _number_problems(value: object, path: tuple) -> Iterator[Problem]:
-    """Refuse NaN and infinities, which Python's JSON reader lets through."""
+    """Yield a problem for each NaN or infinity, which Python's JSON decoder accepts."""
     if isinstance(value, float) and not math.isfinite(value):
         yield Problem(json_path(path), value, "a finite number")
     children: Iterator = iter(())
@@ -41,7 +41,7 @@
 
 
 def _key_problems(document: dict) -> Iterator[Problem]:
-    # A key shared by two organisations would let one act as the other.
+    # If two organisations shared a key, one could act as the other.
     owner_by_digest: dict[str, str] = {}
     for name, organisation in document.get("organisations", {}).items():
         for index, digest in enumerate(organisation["key_sha256"]):
@@ -78,7 +78,7 @@
 
 
 def _call_problems(document: dict) -> Iterator[Problem]:
-    # Two entries for one call could disagree on whether it may be repeated.
+    # Two entries for one call could differ on whether it may be run more than once.
     for name, service in document.get("services", {}).items():
         seen: set[tuple[str, str]] = set()
         for index, call in enumerate(service["calls"]):
