--- a/cranberrywick/configuration/schema.py
+++ b/cranberrywick/configuration/schema.py
@@ -1,4 +1,4 @@
-"""Checking JSON documents by schema, with errors that say what would do."""
+"""Checks of JSON documents by schema, with errors that say what is expected."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -8,19 +8,21 @@
 
 __all__ = ["Problem", "first_problem", "json_path"]
 
-# Long enough to recognise a value, short enough for one line of a log.
+# Longest value shown in an error, in characters: enough to recognise the value, and
+# short enough for one line of a log.
 SHOWN_VALUE_CHARACTERS = 60
 
-# A key pasted where its digest belongs must not reach a log or a terminal.
+# Fields whose values are never shown: a key that was pasted where its digest belongs
+# must not reach a log or a terminal.
 SECRET_NAMES = ("key_sha256", "operator_keys", "peer_secret")
 
 
 class Problem(NamedTuple):
-    """What is wrong with a document: where, which value, and what would do."""
+    """What is wrong with a document: the JSON path, the value and what is expected."""
 
     path: str
     value: object
-    wanted: str
+    expected: str
 
     def __str__(self) -> str:
         shown = repr(self.value)
@@ -28,11 +30,11 @@
             shown = "(secret value)"
         if len(shown) > SHOWN_VALUE_CHARACTERS:
             shown = shown[:SHOWN_VALUE_CHARACTERS] + "..."
-        return f"{self.path}: {shown} won't do; expected {self.wanted}"
+        return f"{self.path}: {shown} won't do; expected {self.expected}"
 
 
 def json_path(parts: Iterable[str | int]) -> str:
-    """Return a JSON path.
+    """Return the JSON path of nested names and list indices.
 
     >>> json_path(["classes", "summary", "versions", 0])
     '$.classes.summary.versions[0]'
@@ -42,16 +44,16 @@
 
 
 def first_problem(validator: Draft202012Validator, document: object) -> Problem | None:
-    """Return the most telling breach of a schema, or None when there is none.
+    """Return the most relevant violation of a schema, or None for a valid document.
 
-    What would do is taken from the ``description`` of the part of the schema that
-    was breached, so each part of a schema carries one.
+    What is expected is taken from the ``description`` of the violated part of the
+    schema, so each part of a schema has to have one.
     """
     error = best_match(validator.iter_errors(document))
-    return _problem(error) if error is not None else None
+    return _to_problem(error) if error is not None else None
 
 
-def _problem(error: ValidationError) -> Problem:
+def _to_problem(error: ValidationError) -> Problem:
     path = json_path(error.absolute_path)
     if error.validator == "required":
         missing = [name for name in error.validator_value if name not in error.instance]
@@ -62,5 +64,5 @@
         if known:
             unknown = sorted(set(error.instance) - set(known))
             return Problem(path, unknown, f"only the names {', '.join(sorted(known))}")
-    wanted = error.schema.get("description", error.message)
-    return Problem(path, error.instance, wanted)
+    expected = error.schema.get("description", error.message)
+    return Problem(path, error.instance, expected)
--- a/cranberrywick/configuration/settings.py
+++ b/cranberrywick/configuration/settings.py
@@ -1,7 +1,8 @@
-"""The settings of one daemon: its addresses, failure domain and platform.
+"""The settings of one daemon: its addresses, failure domain and platform services.
 
-They come from a JSON file and stay as they are for the life of the process. What
-operators change while daemons run stands in `cranberrywick.configuration.document`.
+The settings are read from a JSON file when the process starts and never change while
+it runs. What operators can change while daemons run is in
+`cranberrywick.configuration.document`.
 """
 
 import json
@@ -121,7 +122,7 @@
     log_level: str = "info"
 
     def __repr__(self) -> str:
-        # A settings value in a log or a trace must not give the secrets away.
+        # Settings that are logged or shown in a traceback must not reveal the secrets.
         shown = {**self._asdict(), "peer_secret": "...", "operator_keys": "..."}
         fields = ", ".join(f"{name}={value!r}" for name, value in shown.items())
         return f"DaemonSettings({fields})"
@@ -144,7 +145,10 @@
 
 
 def check_settings(document: object) -> DaemonSettings:
-    """Return the settings that a decoded JSON document holds."""
+    """Return the settings that a decoded JSON document holds.
+
+    Raises `InvalidSettings` with the JSON path, the value and what is expected.
+    """
     problem = first_problem(_VALIDATOR, document)
     if problem is not None:
         raise InvalidSettings(str(problem))
