--- a/cranberrywick/configuration/envelope.py
+++ b/cranberrywick/configuration/envelope.py
@@ -1,4 +1,4 @@
-"""An accepted configuration, and the form in which the platform keeps it."""
+"""An accepted configuration and its stored form in the key-value service."""
 
 import json
 from typing import NamedTuple
@@ -16,7 +16,11 @@
 
 
 class Change(NamedTuple):
-    """One accepted change: ``at`` is UTC, ``operator`` a digest of the key's."""
+    """One accepted change.
+
+    ``at`` is the time of the change in UTC, in ISO 8601; ``operator`` is the start
+    of the SHA-256 digest of the operator's key.
+    """
 
     version: int
     change_id: str
@@ -25,9 +29,10 @@
 
 
 class AcceptedConfiguration(NamedTuple):
-    """A configuration that was accepted, with the document it was parsed from.
+    """A configuration that was accepted, with the document it was built from.
 
-    ``changes`` are the latest ones, oldest first; the last is this version's.
+    ``change_id`` is the id of the change that made this version. ``changes`` are
+    the latest changes, oldest first; the last one made this version.
     """
 
     version: int
@@ -38,12 +43,16 @@
 
     @property
     def order(self) -> tuple[int, str]:
-        """What decides which of two is newer."""
+        """Sort key: of two configurations, the one with the greater key is newer."""
         return (self.version, self.change_id)
 
 
 def parse_envelope(text: str) -> AcceptedConfiguration:
-    """Return the configuration in a stored value; raises `InvalidConfiguration`."""
+    """Return the configuration that a stored value holds.
+
+    Raises `InvalidConfiguration` for a value that is not in the form of `to_text`
+    and for a document that does not pass `check`.
+    """
     try:
         fields = json.loads(text)
         version = int(fields["version"])
@@ -56,7 +65,7 @@
 
 
 def to_text(accepted: AcceptedConfiguration) -> str:
-    """Return the stored form of a configuration."""
+    """Return the stored form of a configuration, as JSON text."""
     fields = {
         "change_id": accepted.change_id,
         "version": accepted.version,
@@ -66,5 +75,5 @@
     return json.dumps(fields, separators=(",", ":"))
 
 
-# What holds where operators have not yet accepted anything.
+# The configuration that applies until operators make their first change.
 NOTHING_ACCEPTED = AcceptedConfiguration(0, "", {}, EMPTY)
--- a/cranberrywick/configuration/store.py
+++ b/cranberrywick/configuration/store.py
@@ -1,9 +1,10 @@
-"""The configuration as the key-value service keeps it.
+"""The configuration in the key-value service: reads, changes and history.
 
 ``config/current`` holds the accepted document with its version. A change is a
-compare-and-swap of that one key, so that of two operators one wins. The version
-that is replaced is archived first under ``config/history/VERSION``: were it
-written afterwards, a daemon that died in between would leave a hole.
+compare-and-swap of that one key, so that of two operators at the same time only one
+succeeds. The version to be replaced is first copied to ``config/history/VERSION``:
+if it were copied after the swap, a daemon that died in between would leave a gap in
+the history.
 """
 
 import random
@@ -42,18 +43,19 @@
 
 CURRENT_KEY = "config/current"
 HISTORY_PREFIX = "config/history/"
-# 450 changes a day: an hour's worth to go back to, and at most 20 MiB kept.
+# Number of versions kept and of changes listed, the current one included: at 450
+# changes a day about an hour to go back to, and at most 20 MiB of stored values.
 HISTORY_LENGTH = 20
 
-# How long a change is tried before its outcome is called unknown, and the bounds
-# of the pause between tries.
+# Longest time for which a change is retried before its outcome is reported as unknown,
+# and the bounds of the pause between two attempts, in seconds.
 SETTLE_SECONDS = 15.0
 PAUSE_MINIMUM_SECONDS = 0.05
 PAUSE_MAXIMUM_SECONDS = 1.0
 
 
 class NewerVersion(VersionConflict):
-    """Another operator's change came first; ``current`` is what holds now."""
+    """Another operator's change was accepted first; ``current`` is the newest."""
 
     def __init__(self, current: AcceptedConfiguration):
         super().__init__(f"version {current.version} was accepted before this change")
@@ -61,9 +63,9 @@
 
 
 class ChangeOutcomeUnknown(CranberrywickError):
-    """The platform never said whether the change was written.
+    """The platform did not answer whether the change was written.
 
-    Look for ``change_id`` in the history once the platform answers again.
+    Once it answers again, the history shows whether ``change_id`` was accepted.
     """
 
     type = "change_outcome_unknown"
@@ -75,6 +77,8 @@
 
 
 class _Stored(NamedTuple):
+    """The stored configuration and its key's revision; 0 is a missing key."""
+
     accepted: AcceptedConfiguration
     revision: int
 
@@ -97,16 +101,17 @@
         self._random = random.Random()
 
     def read(self) -> AcceptedConfiguration | None:
-        """Return the configuration, which may be stale, or None without one."""
+        """Return the configuration, which may be stale, or None if none is stored."""
         entry = self._key_value.get(CURRENT_KEY)
         return parse_envelope(entry.value) if entry.value is not None else None
 
     def read_latest(self) -> AcceptedConfiguration:
-        """Return the newest configuration for certain, creating version 0 if none.
+        """Return the newest configuration; write an empty version 0 if none is stored.
 
-        A plain read may be stale, and a daemon that starts has nothing newer to
-        hold against it: it would serve with a configuration that was replaced. A
-        compare-and-swap that must fail answers with the key's true value.
+        A plain read may be stale, and a daemon that has just started has no newer
+        version to compare it with: it would serve with a configuration that has
+        been replaced. The key is therefore read by a compare-and-swap that expects
+        it to be missing; where it exists, the conflict holds its current value.
         """
         return self._read_stored().accepted
 
@@ -122,7 +127,7 @@
                 if conflict.current.value is not None:
                     return _stored(conflict)
             except AmbiguousWrite as error:
-                raise _nothing_changed(error) from error
+                raise _unchanged_error(error) from error
 
     def change(
         self,
@@ -133,15 +138,18 @@
         change_id: str | None = None,
         floor_version: int = 0,
     ) -> AcceptedConfiguration:
-        """Replace the document by what ``edit`` makes of it.
+        """Replace the document by what ``edit`` returns for it.
 
         With ``base_version`` the change is refused with `NewerVersion` unless that
-        is the current version; without, ``edit`` is called again on what won.
-        ``floor_version`` is the version in force here: were the platform's store
-        lost, versions go on from there instead of starting again. A ``change_id``
-        given again finds the change that it made before. Raises
-        `InvalidConfiguration`, `PlatformUnavailable` when nothing was changed, and
-        `ChangeOutcomeUnknown`.
+        is the current version. Without it, ``edit`` is called again on the document
+        of a change that was written first. ``floor_version`` is the version in force
+        on this daemon: if the platform has lost its store, versions continue from
+        there instead of starting at 1 again. If ``change_id`` is already among the
+        latest changes, nothing is changed and the current configuration is returned.
+
+        Raises `InvalidConfiguration` when the new document is refused,
+        `PlatformUnavailable` when nothing was changed, and `ChangeOutcomeUnknown`
+        when the change may have been written.
         """
         change_id = change_id or secrets.token_hex(8)
         stored = self._read_stored()
@@ -152,26 +160,28 @@
                 raise NewerVersion(stored.accepted)
             document = edit(stored.accepted.document)
             if stored.accepted.version > 0 and document == stored.accepted.document:
-                # Nothing to change, as when a failure domain is out already.
+                # There is no difference, for example a failure domain already out.
                 return stored.accepted
-            wanted = _next(stored, document, change_id, operator, floor_version)
+            replacement = _next_version(
+                stored, document, change_id, operator, floor_version
+            )
             self._archive(stored.accepted)
-            found = self._swap(wanted, stored.revision)
-            if _has_change(found.accepted, change_id):
-                self._prune(found.accepted.version)
-                return found.accepted
-            stored = found
-
-    def _swap(self, wanted: AcceptedConfiguration, revision: int) -> _Stored:
-        """Write ``wanted`` if the key is unchanged; return what then holds.
-
-        An answer can be lost after the write took effect. The same compare-and-
-        swap is sent again: if the first one took effect it is refused with the
-        value that holds, which carries the ids of the latest changes; if not, it
-        does the work. Either way it takes effect once, since any write moves the
-        revision that both expect.
+            result = self._swap(replacement, stored.revision)
+            if _has_change(result.accepted, change_id):
+                self._prune(result.accepted.version)
+                return result.accepted
+            stored = result
+
+    def _swap(self, replacement: AcceptedConfiguration, revision: int) -> _Stored:
+        """Write ``replacement`` if the key is unchanged; return what is then stored.
+
+        An answer can be lost after the write has taken effect. The same compare-and-
+        swap is then sent again. If the first one took effect, the second is refused
+        with the stored value, whose list of latest changes shows the first; if not,
+        the second one writes. The change takes effect at most once, since any write
+        changes the revision that both attempts expect.
         """
-        text = to_text(wanted)
+        text = to_text(replacement)
         give_up_at = self._clock() + SETTLE_SECONDS
         may_be_written = False
         while True:
@@ -179,7 +189,7 @@
                 written = self._key_value.put(
                     CURRENT_KEY, text, expected_revision=revision
                 )
-                return _Stored(wanted, written)
+                return _Stored(replacement, written)
             except RevisionConflict as conflict:
                 return _stored(conflict)
             except AmbiguousWrite:
@@ -188,25 +198,25 @@
                 if not may_be_written:
                     raise
             if self._clock() >= give_up_at:
-                raise ChangeOutcomeUnknown(wanted.change_id)
+                raise ChangeOutcomeUnknown(replacement.change_id)
             self._pause()
 
     def _pause(self) -> None:
         self._sleep(self._random.uniform(PAUSE_MINIMUM_SECONDS, PAUSE_MAXIMUM_SECONDS))
 
     def _archive(self, accepted: AcceptedConfiguration) -> None:
-        """Keep the version that is about to be replaced; again is no harm."""
+        """Copy the version to be replaced to the history, unless it is there."""
         key = f"{HISTORY_PREFIX}{accepted.version}"
         try:
             self._key_value.put(key, to_text(accepted), expected_revision=0)
         except RevisionConflict:
             pass
         except AmbiguousWrite as error:
-            raise _nothing_changed(error) from error
+            raise _unchanged_error(error) from error
 
     def _prune(self, version: int) -> None:
-        # Left over after a failure here, an old version only takes room until the
-        # next change: two are deleted each time.
+        # A failure is ignored: the version that is left over only takes room until the
+        # next change, since each change deletes the two versions past the history.
         try:
             for old in range(
                 version - HISTORY_LENGTH - 1, version - HISTORY_LENGTH + 1
@@ -217,7 +227,7 @@
             pass
 
     def read_version(self, version: int) -> AcceptedConfiguration:
-        """Return one of the last versions; raises `NotFound`."""
+        """Return the current or a kept version; raises `NotFound` for any other."""
         current = self._read_stored().accepted
         if current.version == version:
             return current
@@ -227,15 +237,16 @@
         return parse_envelope(value)
 
 
-def _nothing_changed(error: AmbiguousWrite) -> PlatformUnavailable:
-    """Return what an operator is told of a lost write that changes no document."""
+def _unchanged_error(error: AmbiguousWrite) -> PlatformUnavailable:
+    """Return the error for an unanswered write that left the document unchanged."""
     return PlatformUnavailable(error.message, retry_after=error.retry_after)
 
 
 def _stored(conflict: RevisionConflict) -> _Stored:
     current = conflict.current
     if current.value is None:
-        # Deleted by hand: as if it had never been, and versions go on growing.
+        # The key was deleted by hand, which counts as never written; versions keep
+        # growing through ``floor_version``.
         return _Stored(NOTHING_ACCEPTED, 0)
     return _Stored(parse_envelope(current.value), current.revision)
 
@@ -244,7 +255,7 @@
     return any(change.change_id == change_id for change in accepted.changes)
 
 
-def _next(
+def _next_version(
     stored: _Stored,
     document: dict,
     change_id: str,
