--- a/cranberrywick/configuration/operator_api.py
+++ b/cranberrywick/configuration/operator_api.py
@@ -1,13 +1,13 @@
-"""What operators can ask of a daemon over HTTP, under ``/operator/v1/``.
+"""The HTTP interface of a daemon for operators, under ``/operator/v1/``.
 
 ==================================== =========================================
 ``GET config``, ``?version=N``       the configuration with its version
-``POST config``                      replace it, see `_apply`
+``POST config``                      replace it, see `OperatorApi._apply`
 ``GET config/history``               the latest changes
 ``GET config/status``                the version in force on each daemon
-``GET domains``                      failure domains, in or out
-``POST domains/NAME``                take one out or back: ``{"out": bool}``
-``GET endpoints``                    endpoints as this daemon sees them
+``GET domains``                      failure domains, in service or out
+``POST domains/NAME``                take one out or back in: ``{"out": bool}``
+``GET endpoints``                    endpoints that this daemon tracks
 ==================================== =========================================
 """
 
@@ -35,15 +35,16 @@
 __all__ = ["PREFIX", "EndpointRow", "OperatorApi"]
 
 PREFIX = "/operator/v1/"
-# Room around the document for the fields beside it.
+# Largest request body, in bytes: the largest document and 4 KiB for the other fields.
 BODY_LIMIT_BYTES = DOCUMENT_LIMIT_BYTES + 4096
-# Enough of a key's digest to tell operators apart in the history.
+# Length of an operator's id, the start of their key's digest: enough to tell operators
+# apart in the history.
 OPERATOR_ID_CHARACTERS = 8
 CHANGE_ID_LIMIT_CHARACTERS = 64
 
 
 class EndpointRow(TypedDict):
-    """One endpoint as ``endpoint list`` shows it."""
+    """One endpoint as the command ``endpoint list`` shows it."""
 
     endpoint_id: str
     kind: str
@@ -57,10 +58,10 @@
 
 
 class OperatorApi:
-    """Answers operators' requests; safe to call on many threads at once.
+    """Answers operators' requests; may be called from several threads at a time.
 
-    ``versions_by_daemon`` tells the version that each known daemon has in force,
-    this one included; ``endpoints`` tells the endpoints that are known, and
+    ``versions_by_daemon`` returns the version that each known daemon has in force,
+    this one included; ``endpoints`` returns the tracked endpoints, and
     ``entry_domains`` the failure domains of the daemons.
 
     >>> api = OperatorApi(controller, settings.operator_keys, versions, endpoints)
@@ -83,11 +84,14 @@
         self._entry_domains = entry_domains
 
     def authorise(self, authorization: str | None) -> str:
-        """Return who an ``Authorization`` header proves; raises `Unauthorised`."""
+        """Return the operator's id in the history, from an ``Authorization`` header.
+
+        Raises `Unauthorised` for a missing or unknown key.
+        """
         scheme, _, key = (authorization or "").partition(" ")
         digest = hashlib.sha256(key.strip().encode()).hexdigest()
-        # Every digest is compared in constant time, so that the time of an answer
-        # tells nothing of them.
+        # Compares with every digest, each in constant time, so that the response time
+        # reveals nothing about them.
         matches = [hmac.compare_digest(digest, known) for known in self._key_digests]
         if scheme.lower() != "bearer" or not any(matches):
             raise Unauthorised("an operator's key is needed")
@@ -102,7 +106,11 @@
         operator: str = "",
         request_id: str = "",
     ) -> tuple[int, dict]:
-        """Answer one request of an operator that `authorise` has let in."""
+        """Return the status and the JSON fields that answer an operator's request.
+
+        ``operator`` is the result of `authorise`. A `CranberrywickError` becomes an
+        answer with its status and is not raised.
+        """
         try:
             return 200, self._answer(method, path, query, body, operator)
         except NewerVersion as error:
@@ -132,7 +140,7 @@
             return self._apply(_read_fields(body), operator)
         if method == "POST" and name.startswith("domains/"):
             domain = name.removeprefix("domains/")
-            return self._move_domain(domain, _read_fields(body), operator)
+            return self._set_domain_out(domain, _read_fields(body), operator)
         raise NotFound(f"no such call: {method} {path}")
 
     def _read(self, name: str, query: Mapping[str, str]) -> dict:
@@ -162,13 +170,14 @@
         return _describe(self._controller.store.read_version(int(version)))
 
     def _current(self) -> AcceptedConfiguration:
-        """Return what is in force here, or what the platform has if nothing is."""
+        """Return the configuration in force here, or the platform's if none is."""
         return self._controller.current or self._controller.store.read_latest()
 
     def _list_changes(self) -> list[dict]:
         current = self._current()
         if not current.changes:
-            # Heard from a peer, and the platform was not read since.
+            # The configuration was received from a peer, without its changes, and
+            # the platform has not been read since.
             current = self._controller.store.read_latest()
         return [change._asdict() for change in current.changes]
 
@@ -176,9 +185,10 @@
         """Replace the document.
 
         The body is ``{"document", "base_version"?, "change_id"?}``. The change is
-        refused unless ``base_version`` (0 without) is the version it replaces, so
-        that nobody undoes a change that they have not seen. Whoever hears no
-        answer sends the same ``change_id`` again, to any daemon.
+        refused unless ``base_version`` (0 by default) is the version that it
+        replaces, so that no operator overwrites a change without having seen it. An
+        operator who gets no answer can repeat the request with the same
+        ``change_id`` at any daemon.
         """
         document = fields.get("document")
         check(document)
@@ -193,7 +203,7 @@
         )
         return _describe(accepted, with_document=False)
 
-    def _move_domain(self, domain: str, fields: dict, operator: str) -> dict:
+    def _set_domain_out(self, domain: str, fields: dict, operator: str) -> dict:
         is_out = fields.get("out")
         if not isinstance(is_out, bool):
             raise InvalidRequest("out is true or false")
@@ -212,10 +222,11 @@
         return _describe(accepted, with_document=False)
 
     def _check_known(self, domain: str) -> None:
-        """Refuse a name that nobody has, for a slip would look like success.
+        """Refuse a failure domain in which no endpoint or daemon is known.
 
-        In an outage of the VM list nothing may be known here; then any name is
-        taken, since an operator who must act can't wait for the list.
+        A mistyped name would otherwise look like a success. During an outage of the
+        VM list this daemon may know of no failure domain at all; it then accepts any
+        name, since an operator who must act can't wait for the list.
         """
         known = {row["failure_domain"] for row in self._endpoints()}
         known |= self._entry_domains()
