--- a/cranberrywick/filters/chain.py
+++ b/cranberrywick/filters/chain.py
@@ -1,9 +1,9 @@
-"""The chain of filters that every request passes, and its undoing.
+"""The chain of filters that every request passes through.
 
-Filters are entered in order and left in reverse, exactly once each, whatever
-happens in between: a filter that refuses, an endpoint that fails, a caller that
-hangs up in mid-stream. What a filter takes in `Filter.enter` it gives back in
-`Filter.leave`.
+Filters are entered in order and left in reverse order. Each filter that was entered
+is left exactly once, whatever happens in between: a filter refuses the request, an
+endpoint fails, or the caller disconnects in mid-stream. What a filter acquires in
+`Filter.enter` it releases in `Filter.leave`.
 
 >>> chain = FilterChain([RecordFilter(metrics), IdentifyFilter(), DispatchFilter(d)])
 >>> response = chain.run(exchange)
@@ -19,13 +19,20 @@
 
 
 class Filter:
-    """One step of the chain; override `enter`, and `leave` if it takes anything."""
+    """One step of the chain; override `enter`, and `leave` if it acquires anything."""
 
     def enter(self, exchange: Exchange) -> None:
-        """Do this step's job, set ``exchange.response`` to answer, or raise."""
+        """Do this step's work.
+
+        Set ``exchange.response`` to answer without entering the filters that follow,
+        or raise a `CranberrywickError` to refuse the request.
+        """
 
     def leave(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Give back what `enter` took; must not raise."""
+        """Release what `enter` acquired; must not raise.
+
+        It is also called when `enter` of this filter raised.
+        """
 
 
 class FilterChain:
@@ -35,10 +42,9 @@
         self._filters = tuple(filters)
 
     def run(self, exchange: Exchange) -> Response:
-        """Return the response once the whole answer is known or has been streamed.
+        """Return the response when the whole answer is known or has been streamed.
 
-        Raises whatever `CranberrywickError` a filter raised, after leaving the
-        filters that were entered.
+        Raises what a filter raised, after leaving the filters that were entered.
         """
         entered: list[Filter] = []
         try:
@@ -48,7 +54,7 @@
                 if exchange.response is not None:
                     break
         except CranberrywickError as error:
-            self._leave(entered, exchange, self._failure(exchange, error))
+            self._leave(entered, exchange, self._failed_outcome(exchange, error))
             raise
         except BaseException:
             unknown = Failed("internal_error", Executed.UNKNOWN)
@@ -57,7 +63,7 @@
         self._leave(entered, exchange, Completed(exchange.output_tokens))
         return exchange.response
 
-    def _failure(self, exchange: Exchange, error: CranberrywickError) -> Outcome:
+    def _failed_outcome(self, exchange: Exchange, error: CranberrywickError) -> Outcome:
         if exchange.sent:
             return Failed(error.type, error.executed)
         return NotSent(error.type)
--- a/cranberrywick/filters/exchange.py
+++ b/cranberrywick/filters/exchange.py
@@ -1,4 +1,4 @@
-"""One request and what the filters have learnt of it."""
+"""One request, the state that filters add to it, and its response."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -22,9 +22,9 @@
 
 @dataclass
 class Response:
-    """What goes back to the caller.
+    """The response to the caller.
 
-    ``body`` is empty for an answer that has been streamed already.
+    ``body`` is empty for an answer that has already been streamed.
     """
 
     status: int
@@ -33,10 +33,12 @@
 
 
 class CallerStream:
-    """The caller's side of a streamed answer.
+    """The connection to the caller, as a streamed answer is written to it.
 
-    The status line goes out with the first bytes and not before, so that a failure
-    ahead of them can still become a status of its own or another attempt.
+    The status line is sent together with the first bytes of the body, so that a
+    failure before them can still be answered with its own status or lead to another
+    attempt. ``begin`` sends a status and headers and returns the function that
+    writes the body.
     """
 
     def __init__(self, begin: Callable[[int, list[tuple[str, str]]], Write]):
@@ -47,21 +49,21 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has been sent anything."""
+        """Whether anything has been sent to the caller."""
         return self._write is not None
 
     @property
     def channel(self) -> object | None:
-        """The server's connection to the caller, which counts its unread bytes."""
+        """The server's channel to the caller, which counts the bytes not yet sent."""
         return getattr(getattr(self._write, "__self__", None), "channel", None)
 
     def set_head(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Set what goes out ahead of the first bytes."""
+        """Set the status and headers that are sent ahead of the first bytes."""
         self._status = status
         self._headers = headers
 
     def write(self, data: bytes) -> None:
-        """Send bytes to the caller; raises where the caller has gone."""
+        """Send bytes to the caller; raises when the caller has disconnected."""
         if self._write is None:
             self._write = self._begin(self._status, self._headers)
         self._write(data)
@@ -69,11 +71,14 @@
 
 @dataclass
 class Exchange:
-    """A request on its way through the chain.
-
-    Times are seconds on the daemon's monotonic clock. The configuration is the one
-    in force when the request arrived, so that one request is judged by one version.
-    ``caller_gone`` tells whether the caller has closed its connection.
+    """A request on its way through the chain of filters.
+
+    Times are seconds on the daemon's monotonic clock. ``configuration`` is the one
+    in force when the request arrived, so that all filters use the same version.
+    ``caller_gone`` returns whether the caller has closed its connection. The fields
+    with defaults are set by the filters. ``sent`` says that the request, or part of
+    it, may have been sent to an endpoint, and ``may_have_run`` that an earlier
+    attempt may have run it.
     """
 
     request_id: str
