--- a/cranberrywick/filters/completion.py
+++ b/cranberrywick/filters/completion.py
@@ -1,4 +1,4 @@
-"""Read a chat completion: its model, its class of work, its size."""
+"""Read the model, the class of work and the size of a chat completion."""
 
 import json
 
@@ -17,12 +17,17 @@
     """Turns a chat completion's body into `Work`.
 
     The body's ``model`` is a model's name, or ``MODEL:CLASS`` for a class other
-    than the model's own. The class comes from nowhere else: a caller can't raise
-    its own priority.
+    than the model's default. Nothing else in a request sets the class, so that a
+    caller can't raise its own priority.
     """
 
     def enter(self, exchange: Exchange) -> None:
-        """Set the class, targets, work and the body for the endpoint."""
+        """Set the class, the targets, the work and the body for the endpoint.
+
+        Raises `InvalidRequest` for a body that is not a chat completion,
+        `UnknownModel` for an unknown model or class, and `PromptTooLong` when
+        prompt and output exceed the model's context window.
+        """
         document = _parse_object(exchange.body)
         model, class_name = self._model_and_class(exchange, document)
         prompt = measure_prompt(document)
@@ -66,7 +71,7 @@
 
     def _endpoint_body(self, exchange: Exchange, document: dict, model: str) -> bytes:
         if document["model"] == model:
-            # Writing a million-token body again would cost tens of milliseconds.
+            # Encoding a body of a million tokens again would take tens of milliseconds.
             return exchange.body
         document["model"] = model
         return json.dumps(document).encode()
--- a/cranberrywick/filters/identify.py
+++ b/cranberrywick/filters/identify.py
@@ -1,4 +1,4 @@
-"""Find the organisation that a request belongs to."""
+"""Find the organisation that a request belongs to, by the caller's key."""
 
 from hashlib import sha256
 
@@ -13,10 +13,11 @@
 
 
 def _bearer_key_digest(authorization: str) -> str:
-    """Return the SHA-256 of a bearer key in hexadecimal.
+    """Return the SHA-256 of a bearer key in lower-case hex.
 
-    Raises `Unauthorised` where the header holds no bearer key. Keys are compared
-    by digest only, so neither configuration nor memory dumps of it hold one.
+    Raises `Unauthorised` when the header holds no bearer key. Keys are compared by
+    their digests only, so that neither the configuration nor a memory dump of it
+    contains a key.
     """
     if not authorization.startswith(BEARER_PREFIX):
         raise Unauthorised("send 'Authorization: Bearer KEY'")
@@ -25,7 +26,10 @@
 
 
 def find_organisation(configuration: Configuration, authorization: str) -> str:
-    """Return whose key an ``Authorization`` header holds, or raise `Unauthorised`."""
+    """Return the organisation whose key an ``Authorization`` header holds.
+
+    Raises `Unauthorised` for a missing or unknown key.
+    """
     digest = _bearer_key_digest(authorization)
     organisation = configuration.organisation_by_key_digest.get(digest)
     if organisation is None:
