--- a/cranberrywick/filters/dispatch.py
+++ b/cranberrywick/filters/dispatch.py
@@ -1,4 +1,4 @@
-"""Queue the request, send it where the scheduler says, hand back the answer."""
+"""Queue a request, send it to the endpoint that the scheduler chose, and answer it."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -38,32 +38,37 @@
 
 __all__ = ["DispatchFilter"]
 
-# How often a queued request looks whether its caller has hung up.
+# Interval between two checks whether the caller of a queued request has disconnected,
+# in seconds.
 CALLER_CHECK_SECONDS = 0.25
 
-# The scheduler gives up on work at its deadline; the request's own thread waits a
-# little longer, so that the caller gets the scheduler's answer with its Retry-After.
+# The scheduler refuses work at its deadline. The request's thread waits this many
+# seconds longer, so that the caller gets the scheduler's refusal with its Retry-After.
 DECISION_GRACE_SECONDS = 0.25
 
-# Headers of an endpoint's answer that mean something to the caller.
-PASSED_HEADERS = ("content-type",)
+# Headers of an endpoint's answer that are forwarded to the caller.
+FORWARDED_HEADERS = ("content-type",)
 
 
 class _Attempt(NamedTuple):
+    """One attempt to send the request; ``number`` counts from 1."""
+
     number: int
     send: Send
     sent_at: float
 
     @property
     def endpoint_id(self) -> str:
-        """The endpoint that answers; of a gang the leader."""
+        """The endpoint that answers: the leader of a gang, or the only endpoint."""
         return self.send.endpoint_ids[0]
 
 
 class DispatchFilter(Filter):
-    """Takes a slot at an endpoint and gives it back when the answer has ended.
+    """Acquires a slot at an endpoint and releases it when the answer has ended.
 
-    ``name_owner`` gives the name under which a request holds memory at endpoints.
+    ``name_owner`` returns the owner's name under which a request reserves memory at
+    endpoints. ``record_refusal`` is called with the endpoint's id and the reason
+    when an endpoint refuses a request.
     """
 
     def __init__(
@@ -83,21 +88,26 @@
         self._clock = clock
 
     def enter(self, exchange: Exchange) -> None:
-        """Set the response, or raise the failure that ended the request."""
+        """Set the response, or raise the error that ended the request."""
         ticket = self._dispatcher.submit(exchange.work)
         if isinstance(ticket, Refused):
             raise self._refuse(exchange, ticket)
         try:
             exchange.response = self._serve(exchange, ticket)
         except CranberrywickError as error:
-            # The last attempt's "not run" says nothing of those before it. Passed
-            # on as it is, the caller sends again what an engine may have answered.
+            # The error is that of the last attempt alone. If its "not run" were passed
+            # on, the caller would repeat a request that an engine may have run in an
+            # earlier attempt.
             if exchange.may_have_run and error.executed is Executed.NO:
                 error.executed = Executed.UNKNOWN
             raise
 
     def leave(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Give the slot back where no result did, as when the caller hung up."""
+        """Release the slot of a request that failed.
+
+        An attempt's result releases its slot, but there is none when, for example,
+        the caller has disconnected.
+        """
         if not isinstance(outcome, Completed):
             self._dispatcher.withdraw(exchange.request_id)
 
@@ -115,9 +125,10 @@
                 self._raise_unless_retried(exchange, ticket, attempt, error)
 
     def _await_decision(self, exchange: Exchange, ticket: Ticket) -> Send:
-        last_moment = exchange.work.deadline + DECISION_GRACE_SECONDS
+        """Wait for the scheduler's decision to send; raises on a refusal."""
+        give_up_at = exchange.work.deadline + DECISION_GRACE_SECONDS
         while True:
-            remaining = last_moment - self._clock()
+            remaining = give_up_at - self._clock()
             decision = ticket.wait(min(CALLER_CHECK_SECONDS, remaining))
             if isinstance(decision, Refused):
                 raise self._refuse(exchange, decision)
@@ -129,26 +140,32 @@
                 raise CallerGone("the caller hung up", executed=Executed.NO)
 
     def _refuse(self, exchange: Exchange, refused: Refused) -> CranberrywickError:
+        """Record why the request is refused and return the error to raise."""
         exchange.refusal = refused.reason
         if exchange.queued_seconds is None:
             exchange.queued_seconds = self._clock() - exchange.arrived
-        return _refusal(refused)
+        return _refusal_error(refused)
 
     def _send(self, exchange: Exchange, ticket: Ticket, attempt: _Attempt) -> Response:
-        with self._memory(exchange, attempt) as (endpoint, cache_id):
-            call = self._call(exchange, attempt, cache_id)
+        with self._reserve_memory(exchange, attempt) as (endpoint, cache_id):
+            call = self._build_call(exchange, attempt, cache_id)
             response = self._send_to(endpoint, exchange, call)
-        # After the gang's memory is free again: told earlier, the scheduler would
-        # send the next prompt to engines that still hold this one's.
-        self._dispatcher.finished(ticket, self._success(exchange, attempt))
+        # Reported after the gang's memory has been released: if it were reported
+        # before, the scheduler would send the next prompt to engines whose memory
+        # this one still holds.
+        self._dispatcher.finished(ticket, self._success_result(exchange, attempt))
         return response
 
     @contextmanager
-    def _memory(
+    def _reserve_memory(
         self, exchange: Exchange, attempt: _Attempt
     ) -> Iterator[tuple[Endpoint, str]]:
-        """Find the endpoint that answers and hold a gang's memory, if it is one."""
-        endpoints = [self._find(name) for name in attempt.send.endpoint_ids]
+        """Yield the endpoint that answers and the value for its ``X-Cache-Id``.
+
+        A gang's memory is reserved on entry and released on exit; the value names
+        the reservations. It is empty for a single endpoint, which needs none.
+        """
+        endpoints = [self._find_endpoint(name) for name in attempt.send.endpoint_ids]
         if len(endpoints) == 1:
             yield endpoints[0], ""
             return
@@ -165,7 +182,7 @@
         with hold_gang(plan, addresses_by_id, owner, remaining) as cache_id:
             yield endpoints[0], cache_id
 
-    def _find(self, endpoint_id: str) -> Endpoint:
+    def _find_endpoint(self, endpoint_id: str) -> Endpoint:
         endpoint = self._board.endpoints_by_id.get(endpoint_id)
         if endpoint is None:
             raise EndpointRefused(
@@ -175,18 +192,18 @@
         return endpoint
 
     def _send_to(self, endpoint: Endpoint, exchange: Exchange, call: Call) -> Response:
-        # Set before the first byte leaves: from here on nothing but the client's
-        # own word "not sent" may turn into the answer "not run".
+        # Set before the first byte is sent: from here on the answer is "not run" only
+        # if the error of the endpoint's client says so.
         exchange.sent = True
         answer = send(endpoint.address, call)
         try:
-            headers = _passed_headers(answer)
+            headers = _forwarded_headers(answer)
             if answer.check is not None:
                 self._stream(exchange, answer, headers)
                 body = b""
             else:
                 body = b"".join(answer.chunks())
-                self._note_first_token(exchange)
+                self._record_first_token(exchange)
         finally:
             answer.close()
         exchange.output_tokens = answer.output_tokens
@@ -202,15 +219,15 @@
             answer,
             exchange.caller.write,
             exchange.caller_gone,
-            on_first=lambda: self._note_first_token(exchange),
+            on_first=lambda: self._record_first_token(exchange),
             on_gap=gaps.add,
         )
 
-    def _note_first_token(self, exchange: Exchange) -> None:
+    def _record_first_token(self, exchange: Exchange) -> None:
         exchange.first_token_at = self._clock()
         self._dispatcher.first_token(exchange.request_id)
 
-    def _call(self, exchange: Exchange, attempt: _Attempt, cache_id: str) -> Call:
+    def _build_call(self, exchange: Exchange, attempt: _Attempt, cache_id: str) -> Call:
         headers = {"X-Owner": self._name_owner(exchange.request_id)}
         if cache_id:
             headers["X-Cache-Id"] = cache_id
@@ -230,7 +247,7 @@
             disconnected=exchange.caller_gone,
         )
 
-    def _success(self, exchange: Exchange, attempt: _Attempt) -> SendResult:
+    def _success_result(self, exchange: Exchange, attempt: _Attempt) -> SendResult:
         first_token_at = exchange.first_token_at or self._clock()
         return SendResult(
             endpoint_id=attempt.endpoint_id,
@@ -248,14 +265,16 @@
         attempt: _Attempt,
         error: CranberrywickError,
     ) -> None:
-        answer = self._report_failure(exchange, ticket, attempt, error)
+        """Report a failed attempt; return if there is to be another, else raise."""
+        decision = self._report_failure(exchange, ticket, attempt, error)
         if exchange.caller.started:
-            # Bytes have gone out: another attempt would send them twice. `leave`
-            # withdraws the work if the scheduler has queued it again.
+            # The caller has received part of the answer, which another attempt would
+            # send again. `leave` withdraws the work if the scheduler has queued it for
+            # another attempt.
             raise error
-        if isinstance(answer, Refused):
-            raise self._refuse(exchange, answer) from error
-        if not isinstance(answer, Retry):
+        if isinstance(decision, Refused):
+            raise self._refuse(exchange, decision) from error
+        if not isinstance(decision, Retry):
             raise error
         exchange.may_have_run |= error.executed is not Executed.NO
         exchange.sent = exchange.may_have_run
@@ -283,16 +302,16 @@
         return self._dispatcher.finished(ticket, result)
 
 
-def _passed_headers(answer: Answer) -> list[tuple[str, str]]:
+def _forwarded_headers(answer: Answer) -> list[tuple[str, str]]:
     return [
         (name.title(), answer.headers[name])
-        for name in PASSED_HEADERS
+        for name in FORWARDED_HEADERS
         if name in answer.headers
     ]
 
 
-def _refusal(refused: Refused) -> CranberrywickError:
-    """Return the failure that tells the caller of a refusal."""
+def _refusal_error(refused: Refused) -> CranberrywickError:
+    """Return the error with which a refusal by the scheduler is answered."""
     failures_by_reason = {
         RefusalReason.DRAINING: Draining,
         RefusalReason.PLATFORM_UNAVAILABLE: PlatformUnavailable,
