--- a/cranberrywick/filters/record.py
+++ b/cranberrywick/filters/record.py
@@ -1,4 +1,4 @@
-"""Count, time and log how each request ended."""
+"""Record how each request ended: in metrics, the error budget and the log."""
 
 import time
 from collections.abc import Callable
@@ -20,12 +20,14 @@
 
 __all__ = ["RecordFilter"]
 
+# The class in metrics and logs of a request that ended before its class was known.
 UNKNOWN_CLASS = "none"
 
-# Failures that spend no error budget: the caller's own, and repetitions of a call
-# whose first run is counted by itself. One client program with a bug would otherwise
-# raise alerts about a service that meets its targets.
-NOT_THE_SERVICES_MISSES = frozenset(
+# Types of failures that don't count against the error budget: those that the caller
+# caused, and repetitions of a call whose first run is counted on its own. Otherwise a
+# single client program with a bug would raise alerts about a service that meets its
+# targets.
+FAILURES_OUTSIDE_BUDGET = frozenset(
     failure.type
     for failure in (
         InvalidRequest,
@@ -38,7 +40,7 @@
 
 
 class RecordFilter(Filter):
-    """The outermost filter: it sees every request's end, whatever the end was."""
+    """The outermost filter; it records the end of every request, refused or not."""
 
     def __init__(
         self,
@@ -53,7 +55,7 @@
         self._clock = clock
 
     def leave(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Write one log line and the metrics of a request that has ended."""
+        """Log the end of a request and add it to the metrics and the error budget."""
         seconds = self._clock() - exchange.arrived
         class_name = exchange.class_name or UNKNOWN_CLASS
         name = _outcome_name(outcome)
@@ -70,7 +72,7 @@
             self._metrics.refused(class_name, exchange.refusal)
         if exchange.gaps is not None:
             self._metrics.gaps_counted(class_name, exchange.gaps)
-        if exchange.work is not None and name not in NOT_THE_SERVICES_MISSES:
+        if exchange.work is not None and name not in FAILURES_OUTSIDE_BUDGET:
             self._burn.add(_ended_request(exchange, outcome, seconds))
         if isinstance(outcome, Completed):
             self._metrics.output_tokens(class_name, outcome.output_tokens)
@@ -96,6 +98,7 @@
     if exchange.first_token_at is not None:
         first_token_seconds = exchange.first_token_at - exchange.arrived
     elif isinstance(outcome, Failed):
+        # The request was sent and its first token never came.
         first_token_seconds = inf
     gaps = exchange.gaps
     return EndedRequest(
--- a/cranberrywick/filters/replay.py
+++ b/cranberrywick/filters/replay.py
@@ -1,4 +1,4 @@
-"""Run a non-idempotent call at most once, and answer its repetitions."""
+"""Run a call that is not idempotent at most once, and answer its repetitions."""
 
 from hashlib import sha256
 
@@ -18,17 +18,19 @@
 
 __all__ = ["ReplayFilter"]
 
-# An ordinary call of a plain service has ended by then.
+# Seconds after which a caller may repeat a call that is still running: by then most
+# calls of plain services have ended.
 STILL_RUNNING_RETRY_SECONDS = 1.0
 
 
 class ReplayFilter(Filter):
     """Claims the call's ``Idempotency-Key`` before anything is sent.
 
-    Without the claim, a caller that hears no answer and repeats its call at another
-    entry books twice: neither daemon knows of the other's send. Here the second
-    one finds the claim in the platform's service and answers from it. A claim is
-    never taken over, so a holder that was paused may still act, alone.
+    Without a claim, a call that gets no answer and is repeated at another entry
+    takes effect twice (a booking is made two times): neither daemon knows that the
+    other has sent it. With a claim, the second daemon finds the claim in the platform's
+    key-value service and answers from it. A claim never changes its owner, so
+    that a daemon that was paused can go on and is still the only one to send.
     """
 
     def __init__(self, claims: ClaimStore):
@@ -36,7 +38,11 @@
         self._claims_by_request: dict[str, Claim] = {}
 
     def enter(self, exchange: Exchange) -> None:
-        """Take the claim, or answer what became of the call that has it."""
+        """Claim the key, or answer with the outcome of the call that has claimed it.
+
+        Raises `IdempotencyKeyReused` when that was another call, `StillRunning`
+        while the call runs, and `OutcomeUnknown` when its outcome is not known.
+        """
         if exchange.idempotent:
             return
         outcome = self._claims.claim(
@@ -63,7 +69,7 @@
             )
 
     def leave(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Record what became of the call, or give up the claim of one not run."""
+        """Record the outcome of the call, or release the claim if it did not run."""
         claim = self._claims_by_request.pop(exchange.request_id, None)
         if claim is None:
             return
@@ -76,12 +82,13 @@
 
 
 def _call_digest(exchange: Exchange) -> str:
-    """Digest everything that makes the call this call and not another."""
+    """Return the SHA-256, in hex, of the call's method, path, query and body."""
     head = f"{exchange.method} {exchange.path}?{exchange.query}\n".encode()
     return sha256(head + exchange.body).hexdigest()
 
 
 def _replayed(done: AlreadyDone) -> Response:
+    """Return the recorded response; raises `OutcomeUnknown` if it was not kept."""
     if done.result is None:
         raise OutcomeUnknown(
             f"request {done.request_id} ran; its answer was not kept",
--- a/cranberrywick/filters/service_call.py
+++ b/cranberrywick/filters/service_call.py
@@ -1,4 +1,4 @@
-"""Read a call of a plain service and find out whether it may run twice."""
+"""Read a call of a plain service and whether it may be run more than once."""
 
 from urllib.parse import quote
 
@@ -16,7 +16,12 @@
     """Turns a call under ``/v1/services/NAME/`` into `Work`."""
 
     def enter(self, exchange: Exchange) -> None:
-        """Raise `UnknownService` or `MissingIdempotencyKey` where they apply."""
+        """Set the class, the targets, the work and the request for the endpoint.
+
+        Raises `UnknownService` for a service or call that the configuration does not
+        list, and `MissingIdempotencyKey` for a call that is not idempotent and has no
+        key.
+        """
         name, _, rest = exchange.path.removeprefix(SERVICES_PREFIX).partition("/")
         service = exchange.configuration.services_by_name.get(name)
         if service is None:
@@ -24,8 +29,9 @@
         path = "/" + rest
         call = service.call_for(exchange.method, path)
         if call is None:
-            # Guessing by method would let an unlisted GET with side effects run
-            # twice; guessing the other way would ask readers for needless keys.
+            # The method does not show whether an unlisted call is idempotent: a GET
+            # with side effects could be run twice, while treating every call as unsafe
+            # would demand keys for mere reads.
             raise UnknownService(f"the service has no call {exchange.method} {path}")
         exchange.idempotent = call.idempotent
         if not exchange.idempotent and not exchange.headers_by_name.get(
@@ -35,7 +41,7 @@
         targets = exchange.configuration.targets_by_class[service.class_name]
         exchange.class_name = service.class_name
         exchange.targets = targets
-        exchange.endpoint_path = _target(path, exchange.query)
+        exchange.endpoint_path = _request_target(path, exchange.query)
         exchange.endpoint_body = exchange.body
         exchange.work = Work(
             work_id=exchange.request_id,
@@ -52,11 +58,12 @@
         )
 
 
-def _target(path: str, query: str) -> str:
-    """Return the request target for the endpoint.
+def _request_target(path: str, query: str) -> str:
+    """Return the request target for the endpoint, percent-encoded.
 
-    WSGI hands over the path decoded, a byte for each character. Sent as it is, a
-    blank in a segment would break the request line of a call already claimed.
+    WSGI passes the path decoded, with one character for each byte. If it were sent
+    unencoded, a space in a segment would break the request line of a call that has
+    already been claimed.
     """
     quoted = quote(path.encode("latin-1"))
     return f"{quoted}?{query}" if query else quoted
