--- a/cranberrywick/external/__init__.py
+++ b/cranberrywick/external/__init__.py
@@ -1,1 +1,1 @@
-"""Ports and adapters for the platform: key-value service, VM list, weight store."""
+"""Clients of the platform's services: key-value service, VM list, weight store."""
--- a/cranberrywick/external/exchange.py
+++ b/cranberrywick/external/exchange.py
@@ -1,4 +1,4 @@
-"""JSON calls to the platform's services over HTTP, each tried once."""
+"""JSON calls to the platform's services over HTTP, without retries."""
 
 import json
 import math
@@ -11,14 +11,22 @@
 
 from cranberrywick.errors import PlatformUnavailable
 
-__all__ = ["AmbiguousWrite", "Exchange", "RateLimited", "Reply", "no_answer_error"]
+__all__ = [
+    "AmbiguousWrite",
+    "PlatformClient",
+    "RateLimited",
+    "Reply",
+    "no_answer_error",
+]
 
-# The service answers in milliseconds; a second without an answer is an outage.
+# Time limits of a call, in seconds. The services answer within milliseconds; a second
+# without an answer is an outage.
 CONNECT_TIMEOUT_SECONDS = 1.0
 READ_TIMEOUT_SECONDS = 2.0
-# What callers are told when the platform gives no time of its own.
+# Seconds after which a caller may retry, where the platform names no time itself.
 RETRY_AFTER_SECONDS = 2.0
-# A listing holds several values of up to 1 MiB; anything larger is nonsense.
+# Longest answer that is read, in bytes: a listing holds several values of up to 1 MiB,
+# and no valid answer is longer than this.
 ANSWER_LIMIT_BYTES = 32 << 20
 CONNECTIONS_PER_SERVICE = 8
 
@@ -26,8 +34,8 @@
 class AmbiguousWrite(PlatformUnavailable):
     """A write to the platform may or may not have taken effect.
 
-    ``executed`` stays "no": it speaks of the caller's request, which is sent only
-    after the platform's answer is known.
+    ``executed`` is still "no": it is about the caller's request, which is not sent
+    to an endpoint before the platform's answer is known.
     """
 
     type = "platform_write_unknown"
@@ -40,17 +48,17 @@
 
 
 class Reply(NamedTuple):
-    """A decoded answer; ``fields`` is a JSON object."""
+    """A decoded answer: the HTTP status and the JSON object of the body."""
 
     status: int
     fields: dict
 
 
-class Exchange:
-    """Calls one of the platform's services, at any of its addresses.
+class PlatformClient:
+    """Client of one of the platform's services, at any of its addresses.
 
-    Retrying and redirecting are switched off: a repeated write could take effect
-    twice, and whoever called knows better how to settle it.
+    Retries and redirects are switched off: a repeated write could take effect twice,
+    and only the code that makes the call knows how to find out whether the first did.
     """
 
     def __init__(
@@ -61,7 +69,7 @@
         self._pool = urllib3.PoolManager(
             maxsize=CONNECTIONS_PER_SERVICE, retries=False, block=False
         )
-        # Guards which address is tried first.
+        # Guards the index of the address that is tried first.
         self._lock = threading.Lock()
         self._preferred = 0
 
@@ -73,11 +81,12 @@
         fields: dict | None = None,
         extra_seconds: float = 0.0,
     ) -> Reply:
-        """Make one call and return its answer, whatever its status below 500.
+        """Make one call and return its answer, with any status below 500 except 429.
 
-        ``extra_seconds`` is added to the read timeout, for a watch that waits.
-        Raises `PlatformUnavailable` when nothing was done, `AmbiguousWrite` when
-        a call other than GET may have been done.
+        Another address is tried only where no connection was made. ``extra_seconds``
+        is added to the read timeout, for a watch that waits. Raises
+        `PlatformUnavailable` when nothing was done, `RateLimited` on status 429, and
+        `AmbiguousWrite` when a call other than GET may have taken effect.
         """
         target = f"{path}?{urlencode(query)}" if query else path
         body = json.dumps(fields).encode() if fields is not None else None
@@ -89,12 +98,12 @@
                     self._urls[index], method, target, body, extra_seconds
                 )
             except _NotReached as error:
-                last = error
+                last_error = error
                 continue
             with self._lock:
                 self._preferred = index
             return reply
-        raise PlatformUnavailable(str(last), retry_after=RETRY_AFTER_SECONDS)
+        raise PlatformUnavailable(str(last_error), retry_after=RETRY_AFTER_SECONDS)
 
     def _call_one(
         self, url: str, method: str, target: str, body: bytes | None, extra: float
@@ -123,11 +132,11 @@
 
 
 class _NotReached(Exception):
-    """No connection: nothing was sent, so another address may be tried."""
+    """No connection was made: nothing was sent, so another address may be tried."""
 
 
 def no_answer_error(method: str, message: str) -> PlatformUnavailable:
-    """Return the failure of a call that was sent and not answered usefully."""
+    """Return the error for a call that was sent and got no usable answer."""
     kind = PlatformUnavailable if method == "GET" else AmbiguousWrite
     return kind(message, retry_after=RETRY_AFTER_SECONDS)
 
@@ -155,5 +164,5 @@
         seconds = float(header or RETRY_AFTER_SECONDS)
     except ValueError:
         return RETRY_AFTER_SECONDS
-    # "nan" and "inf" are numbers to float(), and would stop a caller for good.
+    # float() accepts "nan" and "inf", with which a caller would never retry.
     return seconds if 0 <= seconds and math.isfinite(seconds) else RETRY_AFTER_SECONDS
--- a/cranberrywick/external/key_value.py
+++ b/cranberrywick/external/key_value.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service: compare-and-swap, leases and watches."""
+"""Client of the key-value service: compare-and-swap, leases and watches."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 )
 from cranberrywick.external.exchange import (
     AmbiguousWrite,
-    Exchange,
+    PlatformClient,
     RateLimited,
     Reply,
     no_answer_error,
@@ -39,8 +39,8 @@
 class Entry(NamedTuple):
     """One key as it was read.
 
-    A key that does not exist has no ``value`` and ``revision`` 0, which is what
-    `KeyValueStore.put` expects for one that must not exist.
+    A key that does not exist has the value None and revision 0. With 0 as
+    ``expected_revision`` `KeyValueStore.put` writes only a key that does not exist.
     """
 
     key: str
@@ -57,7 +57,7 @@
 
 
 class WatchEvent(NamedTuple):
-    """One change of a key; ``value`` is None where the key was deleted."""
+    """One change of a key; ``value`` is None when the key was deleted."""
 
     key: str
     value: str | None
@@ -65,21 +65,21 @@
 
 
 class WatchAnswer(NamedTuple):
-    """Changes in the order of their revisions; none when the wait ended first."""
+    """Changes in the order of their revisions; none if the wait ended before one."""
 
     events: tuple[WatchEvent, ...]
     store_revision: int
 
 
 class Lease(NamedTuple):
-    """A lease, valid for ``ttl_seconds`` from the moment it was asked for."""
+    """A lease, valid for ``ttl_seconds`` from the moment of the request for it."""
 
     lease_id: str
     ttl_seconds: float
 
 
 class RevisionConflict(VersionConflict):
-    """The key was changed since it was read; ``current`` says to what."""
+    """The key was changed since it was read; ``current`` is the key as it is now."""
 
     def __init__(self, current: Entry):
         super().__init__(f"{current.key} is at revision {current.revision}")
@@ -87,22 +87,22 @@
 
 
 class LeaseLapsed(CranberrywickError):
-    """The lease is unknown to the platform; its keys are gone or will be."""
+    """The platform has no such lease; its keys are deleted or soon will be."""
 
     type = "lease_lapsed"
 
 
 class KeyValueStore(ABC):
-    """Small values under keys, for the whole fleet.
+    """A store of small values by key, shared by the whole fleet.
 
-    Every method raises `PlatformUnavailable` when nothing was done. A write
-    raises `AmbiguousWrite` when it may have been done: read the key back to
-    find out, and never just repeat the write.
+    Every method raises `PlatformUnavailable` when nothing was done. A write raises
+    `AmbiguousWrite` when it may have taken effect: read the key to find out instead of
+    merely repeating the write.
     """
 
     @abstractmethod
     def get(self, key: str) -> Entry:
-        """Read one key; it may be stale."""
+        """Read one key; the answer may be stale."""
 
     @abstractmethod
     def list(self, prefix: str) -> Listing:
@@ -119,21 +119,22 @@
     ) -> int:
         """Write a key of at most 1 MiB and return its revision.
 
-        With ``expected_revision`` raises `RevisionConflict` unless the key is at
-        that revision. A key under a lease goes when the lease lapses.
+        With ``expected_revision`` it raises `RevisionConflict` unless the key is at
+        that revision. With ``lease``, the id of a lease, the key is deleted when the
+        lease lapses; `LeaseLapsed` is raised if it has lapsed already.
         """
 
     @abstractmethod
     def delete(self, key: str, *, expected_revision: int | None = None) -> None:
-        """Delete a key; one that does not exist is no error."""
+        """Delete a key; deleting one that does not exist is no error."""
 
     @abstractmethod
     def watch(self, prefix: str, after: int, wait_seconds: float) -> WatchAnswer:
-        """Wait for changes with a revision above ``after``."""
+        """Wait up to ``wait_seconds`` for changes with a revision above ``after``."""
 
     @abstractmethod
     def grant_lease(self, ttl_seconds: float) -> Lease:
-        """Ask for a new lease."""
+        """Create a lease of ``ttl_seconds``."""
 
     @abstractmethod
     def keep_alive(self, lease_id: str) -> Lease:
@@ -148,7 +149,7 @@
 
 
 def register_key_value_store(scheme: str) -> Callable[[type], type]:
-    """Return a decorator that opens addresses of a URL scheme with a class."""
+    """Return a decorator that registers a class of stores for a URL scheme."""
 
     def register(store: type) -> type:
         KEY_VALUE_STORES[scheme] = store
@@ -168,20 +169,20 @@
 
 @register_key_value_store("http")
 class HttpKeyValueStore(KeyValueStore):
-    """The key-value service over its HTTP interface."""
+    """Client of the key-value service over HTTP."""
 
     def __init__(self, urls: tuple[str, ...]):
-        self._exchange = Exchange(urls)
+        self._client = PlatformClient(urls)
 
     def get(self, key: str) -> Entry:
-        """Read one key; it may be stale."""
+        """Read one key; the answer may be stale."""
         reply = self._request("GET", _path(key))
-        return _checked("GET", _entry, key, reply.fields)
+        return _parse_answer("GET", _entry, key, reply.fields)
 
     def list(self, prefix: str) -> Listing:
         """Read every key under a prefix."""
         reply = self._request("GET", "/v1/keys", query={"prefix": prefix})
-        return _checked("GET", _listing, reply.fields)
+        return _parse_answer("GET", _listing, reply.fields)
 
     def put(
         self,
@@ -200,28 +201,28 @@
         reply = self._request("PUT", _path(key), fields=fields)
         if reply.status == 404:
             raise LeaseLapsed(f"lease {lease} has lapsed")
-        _raise_conflict(key, reply)
-        return _checked("PUT", lambda: int(reply.fields["revision"]))
+        _raise_on_conflict(key, reply)
+        return _parse_answer("PUT", lambda: int(reply.fields["revision"]))
 
     def delete(self, key: str, *, expected_revision: int | None = None) -> None:
-        """Delete a key; one that does not exist is no error."""
+        """Delete a key; deleting one that does not exist is no error."""
         fields = {}
         if expected_revision is not None:
             fields["expected_revision"] = expected_revision
         reply = self._request("DELETE", _path(key), fields=fields)
-        _raise_conflict(key, reply)
+        _raise_on_conflict(key, reply)
 
     def watch(self, prefix: str, after: int, wait_seconds: float) -> WatchAnswer:
-        """Wait for changes with a revision above ``after``."""
+        """Wait up to ``wait_seconds`` for changes with a revision above ``after``."""
         query = {"prefix": prefix, "after": str(after), "wait": str(wait_seconds)}
         reply = self._request("GET", "/v1/watch", query=query, extra=wait_seconds)
-        return _checked("GET", _watch_answer, reply.fields)
+        return _parse_answer("GET", _watch_answer, reply.fields)
 
     def grant_lease(self, ttl_seconds: float) -> Lease:
-        """Ask for a new lease."""
+        """Create a lease of ``ttl_seconds``."""
         fields = {"ttl_seconds": ttl_seconds}
         reply = self._request("POST", "/v1/leases", fields=fields)
-        return _checked("POST", _lease, reply.fields)
+        return _parse_answer("POST", _lease, reply.fields)
 
     def keep_alive(self, lease_id: str) -> Lease:
         """Renew a lease; raises `LeaseLapsed`."""
@@ -230,7 +231,7 @@
         )
         if reply.status == 404:
             raise LeaseLapsed(f"lease {lease_id} has lapsed")
-        return _checked("POST", _lease, reply.fields)
+        return _parse_answer("POST", _lease, reply.fields)
 
     def end_lease(self, lease_id: str) -> None:
         """End a lease and delete its keys."""
@@ -257,8 +258,8 @@
         fields: dict | None = None,
         extra: float = 0.0,
     ) -> Reply:
-        """Make one call; the only way to the network, for tests to replace."""
-        return self._exchange.call(method, path, query, fields, extra)
+        """Make one call. All network access goes through here; tests replace it."""
+        return self._client.call(method, path, query, fields, extra)
 
 
 def _path(key: str) -> str:
@@ -269,17 +270,17 @@
     return "/v1/leases/" + quote(lease_id, safe="")
 
 
-def _checked(method: str, read: Callable, *args: object):
-    """Read an answer's fields; a malformed answer counts as none at all."""
+def _parse_answer(method: str, read: Callable, *args: object):
+    """Return what ``read`` makes of an answer; a malformed one counts as no answer."""
     try:
         return read(*args)
     except (KeyError, TypeError, ValueError) as error:
         raise no_answer_error(method, f"malformed answer: {error!r}") from error
 
 
-def _raise_conflict(key: str, reply: Reply) -> None:
+def _raise_on_conflict(key: str, reply: Reply) -> None:
     if reply.status == 409:
-        revision = _checked("GET", lambda: int(reply.fields["revision"]))
+        revision = _parse_answer("GET", lambda: int(reply.fields["revision"]))
         raise RevisionConflict(
             Entry(key, reply.fields.get("value"), revision, revision)
         )
--- a/cranberrywick/external/vms.py
+++ b/cranberrywick/external/vms.py
@@ -1,23 +1,23 @@
-"""The platform's list of VMs, which lags behind what is true."""
+"""Client of the platform's list of VMs, which lags behind the VMs' actual state."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 from cranberrywick.errors import PlatformUnavailable
-from cranberrywick.external.exchange import Exchange
+from cranberrywick.external.exchange import PlatformClient
 
 __all__ = ["Vm", "VmList", "VmListing", "VmRole", "VmState"]
 
 
 class VmRole(StrEnum):
-    """What a VM is for."""
+    """What a VM runs: a daemon that is an entry, or an endpoint."""
 
     ENTRY = "entry"
     ENDPOINT = "endpoint"
 
 
 class VmState(StrEnum):
-    """Whether a VM stays."""
+    """Whether a VM stays in service or is about to be removed."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -37,7 +37,7 @@
 
 
 class VmListing(NamedTuple):
-    """The list at one revision, by id."""
+    """The list of VMs at one revision."""
 
     revision: int
     vms_by_id: dict[str, Vm]
@@ -51,25 +51,25 @@
     """
 
     def __init__(self, url: str):
-        self._exchange = Exchange((url,))
+        self._client = PlatformClient((url,))
 
     def read(self) -> VmListing:
-        """Return the list; an entry that makes no sense is left out.
+        """Return the list; malformed VMs are left out.
 
-        Raises `PlatformUnavailable` without an answer or with one whose shape is
-        wrong as a whole.
+        Raises `PlatformUnavailable` when there is no answer, or when the list as a
+        whole is malformed.
         """
-        fields = self._exchange.call("GET", "/v1/vms").fields
+        fields = self._client.call("GET", "/v1/vms").fields
         try:
             revision = int(fields["revision"])
-            found = [_read_vm(vm) for vm in fields["vms"]]
+            found = [_parse_vm(vm) for vm in fields["vms"]]
         except (KeyError, TypeError, ValueError) as error:
             raise PlatformUnavailable(f"malformed VM list: {error!r}") from error
         return VmListing(revision, {vm.vm_id: vm for vm in found if vm is not None})
 
 
-def _read_vm(fields: dict) -> Vm | None:
-    # One malformed VM must not take the others out of service.
+def _parse_vm(fields: dict) -> Vm | None:
+    # One malformed VM must not make the whole list unusable.
     try:
         return Vm(
             str(fields["id"]),
--- a/cranberrywick/external/weights.py
+++ b/cranberrywick/external/weights.py
@@ -1,16 +1,16 @@
-"""The platform's weight store, which limits how often it is read."""
+"""Client of the platform's weight store, whose reads are rate-limited."""
 
 from typing import NamedTuple
 from urllib.parse import quote
 
 from cranberrywick.errors import NotFound, PlatformUnavailable
-from cranberrywick.external.exchange import Exchange
+from cranberrywick.external.exchange import PlatformClient
 
 __all__ = ["ModelWeights", "WeightStore"]
 
 
 class ModelWeights(NamedTuple):
-    """What the store knows of one version of a model."""
+    """What the store holds of one version of a model."""
 
     model: str
     version: str
@@ -18,19 +18,19 @@
 
 
 class WeightStore:
-    """Asks the weight store about a model before an endpoint is told to load it."""
+    """Looks up a model in the weight store before an endpoint is ordered to load it."""
 
     def __init__(self, url: str):
-        self._exchange = Exchange((url,))
+        self._client = PlatformClient((url,))
 
     def look_up(self, model: str, version: str) -> ModelWeights:
         """Return a version's size in bytes.
 
-        Raises `RateLimited` with the seconds to wait, `NotFound` for a version
-        that the store does not have, `PlatformUnavailable` without an answer.
+        Raises `RateLimited` with the seconds to wait, `NotFound` for a version that
+        the store does not have, and `PlatformUnavailable` when there is no answer.
         """
         path = f"/v1/models/{quote(model, safe='')}/{quote(version, safe='')}"
-        reply = self._exchange.call("GET", path)
+        reply = self._client.call("GET", path)
         if reply.status == 404:
             raise NotFound(f"no weights for {model} {version}")
         try:
--- a/cranberrywick/platform/store.py
+++ b/cranberrywick/platform/store.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from cranberrywick.errors import InvalidConfiguration, PlatformUnavailable
-from cranberrywick.external.exchange import Exchange, Reply
+from cranberrywick.external.exchange import PlatformClient, Reply
 from cranberrywick.external.key_value import LeaseLapsed
 from cranberrywick.platform.documents import (
     CONFIGURATION_KEY,
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, address: str):
-        self._exchange = Exchange(
+        self._client = PlatformClient(
             (f"http://{address}",), read_timeout=READ_TIMEOUT_SECONDS
         )
         # Of thousands of endpoints most have not written since the last reading.
@@ -124,7 +124,7 @@
         query: dict[str, str] | None = None,
         fields: dict[str, Any] | None = None,
     ) -> Reply:
-        reply = self._exchange.call(method, path, query, fields)
+        reply = self._client.call(method, path, query, fields)
         if reply.status == 404:
             raise LeaseLapsed(f"{path}: no such lease")
         if reply.status != 200:
