--- a/cranberrywick/external/budget.py
+++ b/cranberrywick/external/budget.py
@@ -1,17 +1,17 @@
-"""Keeps one daemon within its part of the platform's calls.
+"""Limits one daemon to its part of the platform's call rates.
 
 Load pattern: the platform serves some 300 writes and 2,000 reads a second for the
 whole fleet, and its rates grow more slowly than the fleet. A burst of bookings at
-one daemon, or the whole fleet coming back at the end of an outage, would use up
-what the others need; the platform would answer late, every daemon would time out
-and try again, and the outage would last.
-
-Three bounds answer it, decided in `cranberrywick.external.call_limits` and
-`cranberrywick.token_bucket`. Each daemon takes its part of half of the rates, so that
-the other half is left for the operators' own use of the service. After a few failures
-in a row no call is made but a probe now and then, at a random moment, so callers get
-their refusal at once instead of a timeout. After an outage the rate grows from a tenth
-to the whole over ten seconds.
+one daemon, or all daemons retrying at the end of an outage, would use up the rates
+that the others need. The platform would then answer late, every daemon would time out
+and retry, and the outage would go on.
+
+Three limits prevent this; they are computed in `cranberrywick.external.call_limits`
+and `cranberrywick.token_bucket`. Each daemon uses an equal part of half of the rates;
+the other half is left for the operators' own use of the service. After three failures
+in a row a daemon makes no calls except single probes at random moments, so that
+callers are refused at once instead of waiting for a timeout. After an outage the rate
+grows from a tenth to the full rate over ten seconds.
 """
 
 import random
@@ -36,35 +36,38 @@
 
 __all__ = ["BudgetedKeyValueStore", "PlatformRates"]
 
-# How much a daemon that was quiet may do at once, in seconds of its rate.
+# Largest burst after a time without calls, in seconds of the daemon's rate.
 BURST_SECONDS = 5.0
-# At 320 daemons a daemon's part is below one write a second; it must still be able
-# to do the few things that a request or an order needs together.
+# Lower bound of the largest burst, in calls. At 320 daemons a daemon's part is below
+# one write a second, and it still has to make the few calls that one request or one
+# order needs together.
 BURST_MINIMUM_CALLS = 8.0
-# A call that would have to wait longer is refused; the request has other limits.
+# Longest wait of a call, in seconds. A call that would wait longer is refused, since
+# the request that needs it has time limits of its own.
 WAIT_MAXIMUM_SECONDS = 1.0
 
-# Outcomes that are no answer. A conflict, a lapsed lease or a refusal for the rate
-# is one: the platform is there.
+# Error types that mean that the platform did not answer. A conflict, a lapsed lease or
+# a refusal by the rate limit is an answer.
 FAILURE_TYPES = frozenset({PlatformUnavailable.type, AmbiguousWrite.type})
 
 Answer = TypeVar("Answer")
 
 
 class PlatformRates(NamedTuple):
-    """Calls a second that the whole fleet may make: half of what is served."""
+    """Calls a second that the whole fleet may make: half of the platform's rates."""
 
     writes: float = 150.0
     reads: float = 1000.0
 
 
 class BudgetedKeyValueStore(KeyValueStore):
-    """Another store, with its calls counted and kept within a budget.
+    """Wraps a store, counts its calls and keeps them within a budget.
 
-    A call over the budget waits up to a second and is then refused with
-    `RateLimited`; in an outage it is refused at once with `PlatformUnavailable`.
-    ``calls_by_kind`` counts calls made, ``refused_by_kind`` those refused here.
-    ``observe`` is told the kind, outcome and seconds of each call made.
+    A call over the budget waits up to a second; one that would have to wait longer
+    is refused with `RateLimited`. In an outage a call is refused at once with
+    `PlatformUnavailable`. ``calls_by_kind`` counts the calls made and
+    ``refused_by_kind`` the calls refused here. ``observe`` is called with the kind,
+    the outcome and the duration in seconds of each call made.
 
     >>> store = BudgetedKeyValueStore(open_key_value_store(urls), daemons=9)
     >>> store.get("config/current")
@@ -87,7 +90,7 @@
         self._rates = rates or PlatformRates()
         self._clock = clock
         self._sleep = sleep
-        # Guards everything below; not held while a call waits or is made.
+        # Guards the attributes below. It is not held while a call waits or is made.
         self._lock = threading.Lock()
         self._guard = OutageGuard(random.Random(seed))
         self._daemons = daemons
@@ -101,29 +104,31 @@
 
     @property
     def calls_by_kind(self) -> dict[str, int]:
-        """Calls made to the platform so far; a waiting watch is one."""
+        """Calls made to the platform so far, by kind; a waiting watch is one call."""
         with self._lock:
             return dict(self._calls_by_kind)
 
     @property
     def refused_by_kind(self) -> dict[str, int]:
-        """Calls that this budget refused so far."""
+        """Calls that this budget has refused so far, by kind."""
         with self._lock:
             return dict(self._refused_by_kind)
 
     @property
     def in_outage(self) -> bool:
-        """Whether the platform is taken to be out."""
+        """Whether the platform counts as unavailable."""
         return self._guard.in_outage
 
     def set_daemons(self, daemons: int) -> None:
-        """Say how many daemons share the platform now."""
+        """Set the number of daemons that share the platform's rates."""
         with self._lock:
             self._daemons = max(1, daemons)
+            # Makes `_apply_share` set the rates even if the share has not changed.
             self._share = 0.0
             self._apply_share(self._clock())
 
     def _apply_share(self, now: float) -> None:
+        """Set the rates of both buckets if the share of them has changed."""
         share = self._guard.share(now)
         if share == self._share:
             return
@@ -137,7 +142,7 @@
             bucket.set_rate(part, burst, now)
 
     def get(self, key: str) -> Entry:
-        """Read one key; it may be stale."""
+        """Read one key; the answer may be stale."""
         return self._call("get", self._reads, lambda: self._store.get(key))
 
     def list(self, prefix: str) -> Listing:
@@ -162,7 +167,7 @@
         )
 
     def delete(self, key: str, *, expected_revision: int | None = None) -> None:
-        """Delete a key; one that does not exist is no error."""
+        """Delete a key; deleting one that does not exist is no error."""
         self._call(
             "delete",
             self._writes,
@@ -170,13 +175,13 @@
         )
 
     def watch(self, prefix: str, after: int, wait_seconds: float) -> WatchAnswer:
-        """Wait for changes with a revision above ``after``."""
+        """Wait up to ``wait_seconds`` for changes with a revision above ``after``."""
         return self._call(
             "watch", self._reads, lambda: self._store.watch(prefix, after, wait_seconds)
         )
 
     def grant_lease(self, ttl_seconds: float) -> Lease:
-        """Ask for a new lease."""
+        """Create a lease of ``ttl_seconds``."""
         return self._call(
             "lease", self._writes, lambda: self._store.grant_lease(ttl_seconds)
         )
@@ -205,21 +210,21 @@
             outcome = error.type
             raise
         finally:
-            self._settle(kind, outcome, started)
+            self._record_outcome(kind, outcome, started)
 
-    def _settle(self, kind: str, outcome: str, started: float) -> None:
+    def _record_outcome(self, kind: str, outcome: str, started: float) -> None:
         now = self._clock()
         with self._lock:
             if outcome in FAILURE_TYPES:
                 self._guard.failed(now)
             elif self._guard.succeeded(now):
-                # What was saved up in the outage is not used at its end.
+                # Tokens that were added during the outage are not used at its end.
                 self._writes.empty(now)
                 self._reads.empty(now)
         self._observe(kind, outcome, now - started)
 
     def _admit(self, kind: str, bucket: TokenBucket) -> float:
-        """Count a call and return its wait, or refuse it."""
+        """Count a call and return its wait in seconds, or raise if it is refused."""
         with self._lock:
             now = self._clock()
             if not self._guard.may_call(now):
--- a/tests/test_platform_budget.py
+++ b/tests/test_platform_budget.py
@@ -9,7 +9,7 @@
 from cranberrywick.external.call_limits import (
     OUTAGE_FAILURES,
     PROBE_MAXIMUM_SECONDS,
-    RETURN_SECONDS,
+    RAMP_SECONDS,
     OutageGuard,
 )
 from cranberrywick.external.exchange import RateLimited
@@ -144,8 +144,8 @@
     guard = guards[0]
     assert guard.succeeded(10.0)
     assert guard.share(10.0) == pytest.approx(0.1)
-    assert guard.share(10.0 + RETURN_SECONDS / 2) == pytest.approx(0.55)
-    assert guard.share(10.0 + RETURN_SECONDS) == 1.0
+    assert guard.share(10.0 + RAMP_SECONDS / 2) == pytest.approx(0.55)
+    assert guard.share(10.0 + RAMP_SECONDS) == 1.0
 
 
 def test_the_rate_after_an_outage_begins_low(standin, clock):
