--- a/cranberrywick/platform/__init__.py
+++ b/cranberrywick/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls, and no decision."""
+"""Adapter to the platform: its names, formats and calls, without any decisions."""
--- a/cranberrywick/platform/fields.py
+++ b/cranberrywick/platform/fields.py
@@ -1,15 +1,27 @@
-"""Checked access to the fields of decoded JSON."""
+"""Type-checked access to the fields of a decoded JSON object.
+
+Every function raises `InvalidConfiguration` with the field's name if the field is of
+another type, or if it is missing and has no default.
+"""
 
 from collections.abc import Mapping
 from typing import Any
 
 from cranberrywick.errors import InvalidConfiguration
 
-__all__ = ["boolean", "number", "strings", "table", "tables", "text", "whole"]
+__all__ = [
+    "boolean",
+    "integer",
+    "mapping",
+    "mappings",
+    "number",
+    "string",
+    "strings",
+]
 
 
 def number(fields: Mapping[str, Any], name: str, default: float | None = None) -> float:
-    """Return a finite number; without ``default`` the field must be there.
+    """Return a number whose absolute value is below 1e18.
 
     >>> number({"timeoutMs": 250}, "timeoutMs")
     250.0
@@ -22,15 +34,15 @@
     return float(value)
 
 
-def whole(fields: Mapping[str, Any], name: str, default: int | None = None) -> int:
-    """Return a whole number."""
+def integer(fields: Mapping[str, Any], name: str, default: int | None = None) -> int:
+    """Return an integer."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int):
         raise InvalidConfiguration(f"{name} is not a whole number")
     return value
 
 
-def text(fields: Mapping[str, Any], name: str, default: str | None = None) -> str:
+def string(fields: Mapping[str, Any], name: str, default: str | None = None) -> str:
     """Return a string."""
     value = fields.get(name, default)
     if not isinstance(value, str):
@@ -39,15 +51,15 @@
 
 
 def boolean(fields: Mapping[str, Any], name: str, default: bool = False) -> bool:
-    """Return true or false."""
+    """Return a boolean."""
     value = fields.get(name, default)
     if not isinstance(value, bool):
         raise InvalidConfiguration(f"{name} is not true or false")
     return value
 
 
-def table(fields: Mapping[str, Any], name: str) -> dict[str, Any]:
-    """Return an object; an absent one is empty."""
+def mapping(fields: Mapping[str, Any], name: str) -> dict[str, Any]:
+    """Return a JSON object; empty if the field is missing or null."""
     value = fields.get(name)
     if value is None:
         return {}
@@ -56,8 +68,8 @@
     return value
 
 
-def tables(fields: Mapping[str, Any], name: str) -> list[dict[str, Any]]:
-    """Return a list of objects; an absent one is empty."""
+def mappings(fields: Mapping[str, Any], name: str) -> list[dict[str, Any]]:
+    """Return a list of JSON objects; empty if the field is missing or null."""
     value = fields.get(name)
     if value is None:
         return []
@@ -67,7 +79,7 @@
 
 
 def strings(fields: Mapping[str, Any], name: str) -> tuple[str, ...]:
-    """Return a list of strings; an absent one is empty."""
+    """Return a list of strings; empty if the field is missing or null."""
     value = fields.get(name)
     if value is None:
         return ()
--- a/cranberrywick/platform/settings.py
+++ b/cranberrywick/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded."""
+"""Reading and decoding of the platform's settings file."""
 
 import json
 import os
@@ -7,7 +7,7 @@
 from typing import Any
 
 from cranberrywick.errors import InvalidConfiguration, InvalidSettings
-from cranberrywick.platform.fields import number, strings, table, text
+from cranberrywick.platform.fields import mapping, number, string, strings
 from cranberrywick.routing.model import BoundsSettings, GatewaySettings
 
 __all__ = ["SETTINGS_VARIABLE", "decode_settings", "load_settings"]
@@ -17,7 +17,10 @@
 
 
 def load_settings(path: str | None = None) -> GatewaySettings:
-    """Read the settings file; raises `InvalidSettings`."""
+    """Read the settings file; raises `InvalidSettings`.
+
+    Without ``path`` the environment variable `SETTINGS_VARIABLE` names the file.
+    """
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise InvalidSettings(f"{SETTINGS_VARIABLE} is not set")
@@ -34,23 +37,26 @@
 
 
 def decode_settings(fields: Mapping[str, Any]) -> GatewaySettings:
-    """Return the settings; fields that are not known are ignored."""
-    listen = table(fields, "listen")
+    """Return the settings; unknown fields are ignored.
+
+    Raises `InvalidConfiguration` for a field of the wrong type.
+    """
+    listen = mapping(fields, "listen")
     ports = fields.get("internalPorts")
     if not isinstance(ports, list) or len(ports) != 2:
         raise InvalidConfiguration("internalPorts is not a pair")
     return GatewaySettings(
-        daemon_id=text(fields, "nodeName"),
-        ip=text(fields, "ip"),
-        failure_domain=text(fields, "zone"),
-        entry_address=text(listen, "front", ""),
-        directory_address=text(listen, "directory", ""),
-        ready_address=text(listen, "ready", ""),
+        daemon_id=string(fields, "nodeName"),
+        ip=string(fields, "ip"),
+        failure_domain=string(fields, "zone"),
+        entry_address=string(listen, "front", ""),
+        directory_address=string(listen, "directory", ""),
+        ready_address=string(listen, "ready", ""),
         internal_ports=(int(ports[0]), int(ports[1])),
-        metrics_address=f"{text(fields, 'ip')}:{int(ports[1])}",
-        store_address=text(table(fields, "platform"), "address"),
+        metrics_address=f"{string(fields, 'ip')}:{int(ports[1])}",
+        store_address=string(mapping(fields, "platform"), "address"),
         seeds=strings(fields, "seeds"),
-        bounds=_decode_bounds(table(fields, "bounds")),
+        bounds=_decode_bounds(mapping(fields, "bounds")),
     )
 
 
