--- a/cranberrywick/platform/directory.py
+++ b/cranberrywick/platform/directory.py
@@ -1,4 +1,4 @@
-"""The directory's question and answer."""
+"""The directory, where callers look up the addresses of entries: path and answer."""
 
 import json
 from collections.abc import Sequence
@@ -9,5 +9,5 @@
 
 
 def encode_directory(addresses: Sequence[str], seconds: float) -> bytes:
-    """Return the answer: entry addresses, and how long callers may keep them."""
+    """Return the answer: entry addresses, which callers may cache for ``seconds``."""
     return json.dumps({"addresses": list(addresses), "ttlS": seconds}).encode()
--- a/cranberrywick/platform/headers.py
+++ b/cranberrywick/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of the platform's headers and what they hold."""
+"""The platform's headers: their names, and decoding and encoding of their values."""
 
 from collections.abc import Iterable, Mapping
 from math import ceil, inf, isfinite
@@ -36,7 +36,7 @@
 WEIGHTS_VERSION = b"cranberrywick-weights-version"
 AT_FAULT = b"at-server"
 
-# Headers that concern one connection and are never passed on.
+# Headers that apply to a single connection and are never forwarded.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -51,8 +51,8 @@
         b"expect",
     )
 )
-# What the gateway sets itself; a caller's own values are dropped.
-_OURS = frozenset(
+# Headers that the gateway sets itself; values that a caller sends are dropped.
+_SET_BY_GATEWAY = frozenset(
     (
         AUTHORIZATION,
         DEADLINE,
@@ -67,7 +67,10 @@
 
 
 class RequestMeta(NamedTuple):
-    """What a caller's headers say; absent or unreadable values are None."""
+    """What a caller's headers say.
+
+    Missing and unreadable values are None; a missing ``request_id`` is empty.
+    """
 
     request_id: str
     key: str | None
@@ -79,11 +82,12 @@
 class ResponseMeta(NamedTuple):
     """What an endpoint's headers say.
 
-    ``not_executed`` is the endpoint's word that it did not run the request;
-    ``sealed`` marks an answer of the endpoint itself. ``running`` and ``waiting``
-    are its requests as of now, -1 where it does not say. ``rate_limit`` is how many
-    requests a second it takes from all daemons together for now: infinity without a
-    limit, None where the answer does not tell.
+    ``not_executed`` says that the endpoint did not run the request; ``sealed`` marks
+    an answer of the endpoint itself, not of something in between. ``running`` and
+    ``waiting`` count its requests at the time of the answer, -1 if not stated.
+    ``rate_limit`` is how many requests a second it accepts at present from all daemons
+    together: infinity without a limit, None if the answer does not state it.
+    ``at_fault`` is the address of the endpoint that caused a refusal.
     """
 
     request_id: str | None
@@ -97,47 +101,50 @@
 
 
 class SetHeaders(NamedTuple):
-    """What the gateway tells an endpoint beside the caller's own headers.
+    """The headers that the gateway adds to a caller's own for an endpoint.
 
-    ``remaining_seconds`` is the time left. ``endpoint_id`` names who is meant, so
-    that an endpoint which has taken over the address refuses. ``helpers`` are
-    addresses, each with the reservation that its part of the prompt may use.
+    ``remaining_seconds`` is the time left until the request's deadline.
+    ``endpoint_id`` names the endpoint that is meant, so that another one that has
+    taken over the address refuses the request. ``helpers`` are entries of
+    `cranberrywick.platform.orders.helper_entry`: an address and, if there is one, the
+    reservation that its part of the prompt may use.
     """
 
     remaining_seconds: float
     endpoint_id: str
     organisation: str | None
-    urgency: int | None = None
+    priority: int | None = None
     helpers: tuple[str, ...] = ()
     last_event_id: str | None = None
     weights_version: str | None = None
 
 
 def decode_request(headers: Iterable[tuple[bytes, bytes]]) -> RequestMeta:
-    """Return what the headers of a caller's request say; names are lower case."""
+    """Return what a caller's headers say; their names must be in lower case."""
     by_name = dict(headers)
     return RequestMeta(
-        request_id=_text(by_name.get(REQUEST_ID)) or "",
+        request_id=_decode_text(by_name.get(REQUEST_ID)) or "",
         key=_decode_key(by_name.get(AUTHORIZATION)),
         deadline_seconds=_decode_milliseconds(by_name.get(DEADLINE)),
         prompt=_decode_prompt(by_name.get(TOKEN_COUNT)),
-        last_event_id=_text(by_name.get(LAST_EVENT_ID)),
+        last_event_id=_decode_text(by_name.get(LAST_EVENT_ID)),
     )
 
 
 def decode_response(status: int, headers: Mapping[bytes, bytes]) -> ResponseMeta:
-    """Return what the headers of an endpoint's answer say."""
-    # A request for another instance is refused with this status alone.
+    """Return what an endpoint's headers say; their names must be in lower case."""
+    # An endpoint refuses a request for another instance with status 421, without the
+    # header.
     not_executed = NOT_EXECUTED in headers or status == 421
     running, waiting = _decode_load(headers.get(LOAD))
     return ResponseMeta(
-        request_id=_text(headers.get(REQUEST_ID)),
+        request_id=_decode_text(headers.get(REQUEST_ID)),
         not_executed=not_executed,
         sealed=SEAL in headers,
         running=running,
         waiting=waiting,
-        weights_version=_text(headers.get(WEIGHTS_VERSION)),
-        at_fault=_text(headers.get(AT_FAULT)),
+        weights_version=_decode_text(headers.get(WEIGHTS_VERSION)),
+        at_fault=_decode_text(headers.get(AT_FAULT)),
         rate_limit=_decode_rate_limit(status, headers),
     )
 
@@ -145,38 +152,41 @@
 def endpoint_headers(
     raw: Iterable[tuple[bytes, bytes]], own: SetHeaders
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers for an endpoint: the caller's, less its secrets, and ours."""
-    dropped = _OURS | HOP_BY_HOP | _named_by_connection(raw)
-    passed = [
+    """Return the headers for an endpoint: the caller's without its key, and ``own``."""
+    dropped = _SET_BY_GATEWAY | HOP_BY_HOP | _named_by_connection(raw)
+    forwarded = [
         (name, value)
         for name, value in raw
         if name.lower() not in dropped and name.lower() != b"content-length"
     ]
     milliseconds = max(1, int(own.remaining_seconds * 1000))
-    passed.append((b"Cranberrywick-Deadline-Ms", str(milliseconds).encode()))
-    passed.append((b"Cranberrywick-Expect-Instance", own.endpoint_id.encode()))
+    forwarded.append((b"Cranberrywick-Deadline-Ms", str(milliseconds).encode()))
+    forwarded.append((b"Cranberrywick-Expect-Instance", own.endpoint_id.encode()))
     if own.organisation is not None:
-        passed.append((b"Cranberrywick-Tenant", own.organisation.encode()))
-    if own.urgency is not None:
-        passed.append((b"Cranberrywick-Request-Priority", b"%d" % own.urgency))
+        forwarded.append((b"Cranberrywick-Tenant", own.organisation.encode()))
+    if own.priority is not None:
+        forwarded.append((b"Cranberrywick-Request-Priority", b"%d" % own.priority))
     if own.helpers:
-        passed.append((b"Cranberrywick-Helpers", ",".join(own.helpers).encode()))
+        forwarded.append((b"Cranberrywick-Helpers", ",".join(own.helpers).encode()))
     if own.last_event_id is not None:
-        passed.append((b"Last-Event-Id", own.last_event_id.encode()))
+        forwarded.append((b"Last-Event-Id", own.last_event_id.encode()))
     if own.weights_version is not None:
-        passed.append((b"Cranberrywick-Expect-Version", own.weights_version.encode()))
-    return passed
+        forwarded.append(
+            (b"Cranberrywick-Expect-Version", own.weights_version.encode())
+        )
+    return forwarded
 
 
 def failure_headers(
     request_id: str, retry_seconds: float | None
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer of the gateway's own."""
+    """Return the headers of an answer that the gateway itself gives."""
     headers = [(b"Content-Type", b"application/json")]
     if request_id:
         headers.append((b"Cranberrywick-Request-Id", request_id.encode("latin-1")))
     if retry_seconds is not None:
-        # Fractions are understood; three digits, rounded up, never tell too soon.
+        # Callers accept fractions of a second. Three decimals, rounded up, never name
+        # a time that is too early.
         seconds = ceil(retry_seconds * 1000) / 1000
         headers.append((b"Retry-After", f"{seconds:g}".encode()))
     return headers
@@ -187,16 +197,16 @@
     for name, value in raw:
         if name.lower() == b"connection":
             named.update(token.strip().lower() for token in value.split(b","))
-    # Naming these as private to the connection must not take them from the request.
+    # A caller can't have these removed by listing them in its Connection header.
     return frozenset(named - {REQUEST_ID, TOKEN_COUNT, b"host", b"content-type"})
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_text(value: bytes | None) -> str | None:
     return None if value is None else value.decode("latin-1")
 
 
 def _decode_key(value: bytes | None) -> str | None:
-    scheme, _, key = (_text(value) or "").partition(" ")
+    scheme, _, key = (_decode_text(value) or "").partition(" ")
     return key.strip() if scheme.lower() == "token" and key.strip() else None
 
 
@@ -211,7 +221,7 @@
 
 
 def _decode_prompt(value: bytes | None) -> PromptSize | None:
-    prompt, _, output = (_text(value) or "").partition(",")
+    prompt, _, output = (_decode_text(value) or "").partition(",")
     if not prompt.strip().isdigit():
         return None
     output = output.strip()
@@ -219,7 +229,7 @@
 
 
 def _decode_load(value: bytes | None) -> tuple[int, int]:
-    parts = (_text(value) or "").split(",")
+    parts = (_decode_text(value) or "").split(",")
     if len(parts) < 2 or not all(part.strip().isdigit() for part in parts[:2]):
         return -1, -1
     return int(parts[0]), int(parts[1])
@@ -227,10 +237,10 @@
 
 def _decode_rate_limit(status: int, headers: Mapping[bytes, bytes]) -> float | None:
     if status == 421:
-        return None  # Another endpoint has taken over the address.
+        return None  # The limit is that of another endpoint, now at this address.
     value = headers.get(RATE_LIMIT)
     if value is None:
-        # Only the endpoint's own answer shows that it has no limit any more.
+        # Without the header, only the endpoint's own answer shows that it has no limit.
         return inf if SEAL in headers else None
     try:
         rate = float(value)
--- a/cranberrywick/platform/orders.py
+++ b/cranberrywick/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints that reserve and release their memory."""
+"""Orders to an endpoint that reserve and release its memory."""
 
 import json
 
@@ -8,7 +8,10 @@
 
 
 def encode_reserve(reservation_id: str, tokens: int, hold_seconds: float) -> bytes:
-    """Return the body that reserves memory, or renews a reservation of this id."""
+    """Return the body that reserves memory for ``tokens``, or renews a reservation.
+
+    The endpoint releases it after ``hold_seconds`` unless it is renewed.
+    """
     return json.dumps(
         {
             "operation": "reserve",
@@ -25,5 +28,5 @@
 
 
 def helper_entry(address: str, reservation_id: str | None) -> str:
-    """Return how a helper is named to the endpoint that answers."""
+    """Return a helper's entry in the header for the endpoint that answers."""
     return f"{address}/{reservation_id}" if reservation_id else address
