--- a/cranberrywick/platform/store.py
+++ b/cranberrywick/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 import base64
 from collections.abc import Iterable
@@ -21,27 +21,29 @@
 
 __all__ = ["PlatformStore"]
 
-# The store answers in milliseconds; a slow day is fifty times that. Longer than
-# this, a reader is worth more asking again or hearing from a peer.
+# Longest wait for an answer, in seconds. The store answers within milliseconds, and
+# within fifty times that when it is slow. After a longer wait it is better to read
+# again or to use an update from a peer.
 READ_TIMEOUT_SECONDS = 1.0
 
 
 class PlatformStore:
-    """The store as the gateway uses it; every call blocks and is tried once.
+    """The calls to the store that the gateway makes; they block and are not retried.
 
-    Raises `PlatformUnavailable` for every call without a usable answer.
+    Every call without a usable answer raises `PlatformUnavailable`.
     """
 
     def __init__(self, address: str):
         self._client = PlatformClient(
             (f"http://{address}",), read_timeout=READ_TIMEOUT_SECONDS
         )
-        # Of thousands of endpoints most have not written since the last reading.
+        # Records are decoded again only if they have changed: of thousands of endpoints
+        # most have not written since the last snapshot.
         self._decoded_by_id: dict[str, _Decoded] = {}
 
     def read_endpoints(self) -> EndpointView:
-        """Read every registered endpoint; never stale."""
-        revision, items = self._range(ENDPOINTS_PREFIX)
+        """Return a snapshot of every registered endpoint; it is never stale."""
+        revision, items = self._read_items(ENDPOINTS_PREFIX)
         decoded_by_id = {}
         for item in items:
             endpoint_id = item["key"].removeprefix(ENDPOINTS_PREFIX)
@@ -55,13 +57,13 @@
         return EndpointView(revision, records, unusable)
 
     def read_operator(self) -> OperatorView:
-        """Read what operators have written; never stale."""
-        revision, items = self._range(OPERATOR_PREFIX)
+        """Return a snapshot of what operators have written; it is never stale."""
+        revision, items = self._read_items(OPERATOR_PREFIX)
         document = b""
         domains = set()
         for item in items:
             if item["key"] == CONFIGURATION_KEY:
-                document = _value(item)
+                document = _decode_value(item)
             elif item["key"].startswith(EVACUATION_PREFIX):
                 domains.add(item["key"].removeprefix(EVACUATION_PREFIX))
         return OperatorView.of(revision, document, frozenset(domains))
@@ -69,20 +71,21 @@
     def read_members(self) -> dict[str, str]:
         """Return the peer addresses of the registered daemons by id.
 
-        It may be stale by seconds, which costs a tenth; heartbeats say who lives.
+        The answer may be stale by seconds, since such a read costs the store a tenth
+        of a current one; heartbeats show which daemons are alive.
         """
-        _, items = self._range(MEMBERS_PREFIX, serializable=True)
+        _, items = self._read_items(MEMBERS_PREFIX, serializable=True)
         members = {}
         for item in items:
             try:
                 daemon_id = item["key"].removeprefix(MEMBERS_PREFIX)
-                members[daemon_id] = decode_member(_value(item))
+                members[daemon_id] = decode_member(_decode_value(item))
             except InvalidConfiguration:
                 continue
         return members
 
     def register(self, daemon_id: str, peer_address: str, ttl_seconds: float) -> int:
-        """Write this daemon's own key under a new lease and return the lease."""
+        """Write this daemon's own key under a new lease and return the lease's id."""
         fields = {"ttlMs": int(ttl_seconds * 1000)}
         lease = int(self._call("POST", "/kv-lease", fields=fields).fields["lease"])
         write = {
@@ -98,12 +101,13 @@
         self._call("POST", f"/kv-keep/{lease}")
 
     def end(self, lease: int) -> None:
-        """End the lease and with it this daemon's key."""
+        """End the lease, which deletes this daemon's key."""
         self._call("DELETE", f"/kv-lease-end/{lease}")
 
-    def _range(
+    def _read_items(
         self, prefix: str, serializable: bool = False
     ) -> tuple[int, Iterable[dict[str, Any]]]:
+        """Return the store's revision and the items of all pages under a prefix."""
         items: list[dict[str, Any]] = []
         query = {"prefix": prefix}
         if serializable:
@@ -113,7 +117,7 @@
             page = fields.get("items") or []
             items.extend(page)
             if not fields.get("truncated") or not page:
-                # Of several pages the oldest counts: later ones may only be newer.
+                # This is the last page's revision; items of earlier pages may be older.
                 return int(fields["asOf"]), items
             query = {**query, "after": page[-1]["key"]}
 
@@ -133,7 +137,7 @@
 
 
 class _Decoded(NamedTuple):
-    """What an item said at a revision; None if it is no endpoint."""
+    """The endpoint in an item at a revision; None if it describes no usable one."""
 
     revision: int | None
     record: EndpointRecord | None
@@ -141,13 +145,13 @@
 
 def _decode_record(endpoint_id: str, item: dict[str, Any]) -> _Decoded:
     try:
-        record = decode_endpoint(endpoint_id, _value(item))
+        record = decode_endpoint(endpoint_id, _decode_value(item))
     except InvalidConfiguration:
         record = None
     return _Decoded(item.get("revision"), record)
 
 
-def _value(item: dict[str, Any]) -> bytes:
+def _decode_value(item: dict[str, Any]) -> bytes:
     try:
         return base64.b64decode(item["value"], validate=True)
     except (KeyError, TypeError, ValueError) as error:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -28,7 +28,7 @@
         super().__init__("127.0.0.1:1")
         self.items = []
 
-    def _range(self, prefix, serializable=False):
+    def _read_items(self, prefix, serializable=False):
         return 7, self.items
 
 
