--- a/tests/configuration_documents.py
+++ b/tests/configuration_documents.py
@@ -1,4 +1,4 @@
-"""A configuration document for tests to change."""
+"""A valid configuration document, of which tests replace parts."""
 
 import copy
 
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -1,7 +1,7 @@
-"""The operators' commands against a daemon's operator interface, as a session.
+"""The operators' commands against a daemon's operator interface.
 
-The golden file holds what an operator types and sees. ``UPDATE_GOLDEN=1`` writes
-it anew; read the difference before it is committed.
+The golden file holds a session: the commands and their output. ``UPDATE_GOLDEN=1``
+rewrites it; review the difference before committing it.
 """
 
 import hashlib
@@ -41,7 +41,7 @@
 
 
 class OperatorFront(StandIn):
-    """Mounts the operator interface as a daemon does."""
+    """Serves the operator interface over HTTP as a daemon does."""
 
     def __init__(self, controller):
         super().__init__()
@@ -90,19 +90,22 @@
 
 
 @pytest.fixture
-def type_command(front):
-    def type_command(group, *arguments, key=KEY):
+def run_command(front):
+    def run_command(group, *arguments, key=KEY):
         environment = {
             "CRANBERRYWICK_DAEMONS": front.server.url,
             "CRANBERRYWICK_OPERATOR_KEY": key,
         }
         return CliRunner().invoke(group, arguments, env=environment)
 
-    return type_command
+    return run_command
 
 
-def test_a_session_of_an_operator(type_command, front, tmp_path, monkeypatch):
-    """An operator applies a first version, moves a domain and loses a race."""
+def test_a_session_of_an_operator(run_command, front, tmp_path, monkeypatch):
+    """An operator applies a version, takes a domain out and back, and is refused once.
+
+    The refused change is based on a version that has been replaced.
+    """
     monkeypatch.chdir(tmp_path)
     Path("fleet.json").write_text(json.dumps(document()))
     broken = document(models={"drafter": {"context_tokens": 0}})
@@ -110,7 +113,7 @@
     transcript = []
 
     def run(group, *arguments):
-        result = type_command(group, *arguments)
+        result = run_command(group, *arguments)
         line = " ".join(["$ cranberrywick", group.name, *arguments])
         transcript.append(f"{line}\n{result.output}exit {result.exit_code}\n")
         return result.output
@@ -142,33 +145,34 @@
     assert found == GOLDEN.read_text()
 
 
-def test_without_an_operators_key_nothing_is_answered(type_command):
-    result = type_command(config, "show", key="wrong")
+def test_a_wrong_operator_key_is_refused(run_command):
+    result = run_command(config, "show", key="wrong")
     assert result.exit_code == 1
     assert "unauthorised" in result.output
 
 
-def test_a_platform_outage_has_its_own_exit_code(type_command, standin, tmp_path):
+def test_a_platform_outage_has_its_own_exit_code(run_command, standin, tmp_path):
     path = tmp_path / "fleet.json"
     path.write_text(json.dumps(document()))
     standin.faults.set("outage")
-    result = type_command(config, "apply", str(path))
+    result = run_command(config, "apply", str(path))
     assert result.exit_code == 4
     assert "platform_unavailable" in result.output
 
 
 def test_an_apply_whose_answer_is_lost_is_settled_at_another_daemon(
-    type_command, front, tmp_path
+    run_command, front, tmp_path
 ):
     """The daemon accepts the change and dies before it answers the operator.
 
     The command sends the same change id to the next daemon, which finds the change
-    accepted. Sent as a new change it would be refused as an operator race.
+    accepted. Sent as a new change it would be refused, since its base version has
+    been replaced.
     """
     path = tmp_path / "fleet.json"
     path.write_text(json.dumps(document()))
     front.faults.set("drop_next_answer", count=1)
-    result = type_command(
+    result = run_command(
         config,
         "apply",
         str(path),
@@ -197,9 +201,7 @@
         ("GET", "config?version=x", b"", 400),
     ],
 )
-def test_a_request_that_makes_no_sense_has_a_typed_answer(
-    front, method, path, body, status
-):
+def test_an_invalid_request_gets_a_typed_error(front, method, path, body, status):
     name, _, version = path.partition("?version=")
     query = {"version": version} if version else {}
     found, answer = front.api.handle(method, f"/operator/v1/{name}", query, body)
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -1,4 +1,4 @@
-"""Checking the operators' configuration and the daemon's settings."""
+"""Checks of the operators' configuration and of the daemon's settings."""
 
 import json
 import string
@@ -104,7 +104,7 @@
         ),
     ],
 )
-def test_a_breach_names_path_value_and_what_would_do(changed, expected):
+def test_a_violation_names_path_value_and_what_is_expected(changed, expected):
     with pytest.raises(InvalidConfiguration) as caught:
         check(changed)
     assert expected in caught.value.message
@@ -113,8 +113,8 @@
 def test_a_key_pasted_for_its_digest_is_not_shown():
     """An operator pastes a caller's key where its digest belongs.
 
-    The document is refused; the message reaches the terminal and the log, so it
-    must not carry the key.
+    The document is refused. The message reaches a terminal and the log, so it must
+    not contain the key.
     """
     with pytest.raises(InvalidConfiguration) as caught:
         check(replaced("organisations.kask.key_sha256", ["sk-very-secret"]))
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[" * 100_000, b"\xff\xfe", "9" * 2_000_000])
-def test_text_that_is_no_document_has_a_type(text):
+def test_invalid_text_raises_a_typed_error(text):
     with pytest.raises(InvalidConfiguration):
         check_text(text)
 
@@ -139,7 +139,7 @@
 
 
 @given(section=st.sampled_from(sorted(document())), value=_json_values)
-def test_any_json_is_accepted_or_refused_with_a_type(section, value):
+def test_any_json_is_accepted_or_refused_with_a_typed_error(section, value):
     try:
         check(document(**{section: value}))
     except InvalidConfiguration as error:
@@ -181,11 +181,11 @@
         load_settings(path)
 
 
-def test_a_kind_without_rates_has_the_nominal_ones():
-    """A booking fails as an internal error while completions are served.
+def test_a_kind_without_rates_gets_the_default_rates():
+    """Guards against calls of a plain service that fail with an internal error.
 
-    The document of a plain service names no rates; read as zero, the scheduler
-    divided by them. What is left out has the nominal figure of an endpoint.
+    A plain service declares no rates. When the missing rates were read as zero, the
+    scheduler divided by them; they get the defaults of `Endpoint` instead.
     """
     document = {
         "classes": {
