--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The ports to the platform's services, over HTTP against the stand-ins."""
+"""The clients of the platform's services, over HTTP against the stand-ins."""
 
 import threading
 
@@ -91,7 +91,7 @@
     assert store.watch("k", after, 0.0).events == ()
 
 
-def test_a_key_goes_when_its_lease_lapses(store, clock):
+def test_a_key_is_deleted_when_its_lease_lapses(store, clock):
     lease = store.grant_lease(10.0)
     store.put("held", "x", lease=lease.lease_id)
     clock.now = 9.0
@@ -115,7 +115,7 @@
         ("rate_limit", RateLimited, RateLimited),
     ],
 )
-def test_a_failure_says_whether_a_write_may_be_done(
+def test_an_error_says_whether_a_write_may_have_taken_effect(
     store, server, fault, read_failure, write_failure
 ):
     server.standin.faults.set(fault)
@@ -128,11 +128,11 @@
     assert caught.value.retry_after is not None
 
 
-def test_a_lost_answer_is_never_sent_again_by_itself(store, server):
-    """The write is done and the connection breaks before the answer.
+def test_a_write_whose_answer_is_lost_is_not_retried(store, server):
+    """The write takes effect and the connection breaks before the answer.
 
-    A client that repeats by itself would write twice, and would hide from its
-    caller that the first may have counted.
+    A client that retried on its own would write twice, and would hide from the code
+    that called it that the first write may have taken effect.
     """
     server.standin.faults.set("drop_next_answer", count=1)
     with pytest.raises(AmbiguousWrite):
@@ -141,8 +141,8 @@
     assert store.get("k").value == "v"
 
 
-def test_another_address_is_tried_only_where_none_was_reached(serve):
-    """The first address is dead, so nothing was sent there."""
+def test_another_address_is_tried_only_without_a_connection(serve):
+    """Nothing listens at the first address, so nothing was sent there."""
     dead, live = serve(KeyValueStandIn()), serve(KeyValueStandIn())
     store = HttpKeyValueStore((dead.url, live.url))
     dead.stop()
@@ -156,7 +156,7 @@
     assert type(caught.value) is PlatformUnavailable
 
 
-def test_the_vm_list_lags_and_leaves_out_what_makes_no_sense(serve):
+def test_the_vm_list_lags_and_leaves_out_malformed_vms(serve):
     standin = VmListStandIn([VM, {"id": "broken"}, "nothing"[:0] or {"id": "x"}])
     vms = VmList(serve(standin).url)
     assert list(vms.read().vms_by_id) == ["engine-1"]
--- a/tests/test_platform_budget.py
+++ b/tests/test_platform_budget.py
@@ -1,4 +1,4 @@
-"""One daemon's part of the platform's calls, in a burst and around an outage."""
+"""The limits on one daemon's platform calls, in a burst and around an outage."""
 
 import random
 
@@ -63,14 +63,14 @@
     }
 
 
-def test_a_burst_is_let_through_and_then_held_to_the_rate(standin, clock):
-    """One daemon of two has far more to write than its part of 10 a second.
+def test_a_burst_is_allowed_and_then_limited_to_the_rate(standin, clock):
+    """One of two daemons has far more to write than its part of 10 writes a second.
 
-    It may use what it saved up, then its five a second; what would wait longer
-    than a second is refused, and reads go on beside it.
+    It may make one burst, then five writes a second. A call that would wait longer
+    than a second is refused, and reads are still possible.
     """
     store = make_store(standin, clock, daemons=2)
-    # Many threads wait side by side: none of their waits is time for the others.
+    # Like many threads that wait at the same time: a wait does not advance the clock.
     store._sleep = lambda seconds: None
     for _ in range(1000):
         try:
@@ -103,10 +103,10 @@
     assert not store.in_outage
 
 
-def test_in_an_outage_callers_are_told_at_once_and_the_platform_is_probed(
+def test_in_an_outage_calls_are_refused_at_once_and_the_platform_is_probed(
     standin, clock
 ):
-    """The platform is out for a minute while a caller asks ten times a second."""
+    """The platform is unavailable for a minute, with ten calls a second to it."""
     store = make_store(standin, clock)
     standin.faults.set("outage")
     for _ in range(600):
@@ -127,11 +127,11 @@
     assert not store.in_outage
 
 
-def test_a_fleet_comes_back_without_a_stampede():
-    """Sixty daemons meet one outage, each with more to write than its part.
+def test_a_fleet_returns_from_an_outage_without_a_thundering_herd():
+    """Sixty daemons see the same outage, each with more to write than its part.
 
-    Their probes are spread, and each begins with a tenth of its rate. Without
-    that, all would send their whole burst in the first second.
+    Their probes are spread over time, and each daemon starts with a tenth of its
+    rate. Otherwise all would send their whole burst in the first second.
     """
     guards = [OutageGuard(random.Random(seed)) for seed in range(60)]
     for guard in guards:
@@ -148,8 +148,8 @@
     assert guard.share(10.0 + RAMP_SECONDS) == 1.0
 
 
-def test_the_rate_after_an_outage_begins_low(standin, clock):
-    """What was saved up in the outage is gone and the rate is a tenth."""
+def test_the_rate_after_an_outage_starts_low(standin, clock):
+    """No burst is left from the time of the outage, and the rate is a tenth."""
     store = make_store(standin, clock)
     standin.faults.set("outage")
     for _ in range(OUTAGE_FAILURES):
@@ -158,8 +158,8 @@
     standin.faults.clear()
     clock.now += 2 * PROBE_MAXIMUM_SECONDS
     store.get("k")
-    came_back_at = clock.now
-    while clock.now < came_back_at + 1.0:
+    outage_ended_at = clock.now
+    while clock.now < outage_ended_at + 1.0:
         try:
             store.put("k", "v")
         except RateLimited:
