--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""What the headers of endpoints' answers say."""
+"""Decoding of the headers of endpoints' answers."""
 
 from math import inf
 
@@ -13,27 +13,27 @@
     ("value", "rate"),
     [(b"1", 1.0), (b"0.25", 0.25), (b"0", 0.0), (b" 12 ", 12.0)],
 )
-def test_an_answer_of_any_status_names_a_limit(value, rate):
-    """Refusals name it too, and come from the endpoints that need it most."""
+def test_an_answer_of_any_status_states_a_limit(value, rate):
+    """Refusals state it too; they come from the endpoints that most need a limit."""
     for status in (200, 429, 500, 503):
         headers = {b"server-limit": value}
         assert decode_response(status, headers).rate_limit == rate
 
 
 @pytest.mark.parametrize("value", [b"", b"-1", b"nan", b"inf", b"1e999", b"few"])
-def test_a_limit_that_cannot_be_read_says_nothing(value):
-    """It neither sets a limit nor ends one that is in force."""
+def test_an_unreadable_limit_is_ignored(value):
+    """Such a value neither sets a limit nor ends the one in force."""
     headers = {b"server-limit": value, **SEALED}
     assert decode_response(200, headers).rate_limit is None
 
 
 def test_only_the_endpoints_own_answer_ends_a_limit():
-    """A bare refusal without the header is no word of a limit's end."""
+    """An unsealed answer without the header does not end a limit."""
     assert decode_response(200, SEALED).rate_limit == inf
     assert decode_response(500, SEALED).rate_limit == inf
     assert decode_response(503, {}).rate_limit is None
 
 
-def test_an_endpoint_that_took_over_the_address_names_its_own_limit():
-    """The limit of whoever answers 421 would be kept for the endpoint before it."""
+def test_a_limit_from_an_endpoint_that_took_over_the_address_is_ignored():
+    """Otherwise its limit would be recorded for the endpoint that was there before."""
     assert decode_response(421, {b"server-limit": b"1"}).rate_limit is None
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""What the store's client makes of its answers."""
+"""Decoding of the store's answers by its client."""
 
 import base64
 import json
@@ -21,8 +21,8 @@
     return {"key": f"servers/{endpoint_id}", "value": value, "revision": revision}
 
 
-class Pages(PlatformStore):
-    """A store whose items are set by a test."""
+class StoreWithItems(PlatformStore):
+    """A client whose answers hold the items that a test sets."""
 
     def __init__(self):
         super().__init__("127.0.0.1:1")
@@ -32,8 +32,8 @@
         return 7, self.items
 
 
-def test_records_that_have_not_been_written_since_are_not_decoded_again(monkeypatch):
-    """Guards against a reading whose cost is that of all endpoints, twice a second."""
+def test_unchanged_records_are_not_decoded_again(monkeypatch):
+    """Guards against decoding all endpoints in every snapshot, twice a second."""
     decoded = []
     decode = platform_store.decode_endpoint
     monkeypatch.setattr(
@@ -43,7 +43,7 @@
             decoded.append(endpoint_id) or decode(endpoint_id, value)
         ),
     )
-    store = Pages()
+    store = StoreWithItems()
     store.items = [item("e1", 3), item("e2", 4)]
     store.read_endpoints()
     store.items = [item("e1", 3), item("e2", 5, "draining"), item("e3", 6)]
@@ -52,8 +52,8 @@
     assert [r.draining for r in view.records_by_id.values()] == [False, True, False]
 
 
-def test_a_record_that_cannot_be_read_names_no_endpoint():
-    store = Pages()
+def test_an_unreadable_record_is_listed_as_unusable():
+    store = StoreWithItems()
     store.items = [item("e1", 3), item("e2", 4, "dancing")]
     for _ in range(2):
         view = store.read_endpoints()
--- a/tests/test_service_call.py
+++ b/tests/test_service_call.py
@@ -1,4 +1,4 @@
-"""A call of a plain service, as it is passed on."""
+"""The request that a plain service receives for a call."""
 
 from cranberrywick.configuration.document import EMPTY, Service, ServiceCall
 from cranberrywick.filters.exchange import CallerStream, Exchange
@@ -14,10 +14,11 @@
 
 
 def test_path_and_query_reach_the_service_as_they_were_sent():
-    """A caller asks for one team's slots and gets an answer to another question.
+    """Guards against a path or query that is changed on the way to the service.
 
-    The server decodes the path and splits off the query. Passed on without the
-    query the service answers for all; with a bare blank the call can't be sent.
+    The server decodes the path and splits off the query. Without the query, the
+    service would answer for all slots instead of one team's; with an unencoded space
+    in the path the call could not be sent.
     """
     exchange = Exchange(
         request_id="r1",
