--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at a real daemon: a typed answer each time, and it serves on."""
+"""Bad input to a real daemon: each gets a typed answer, and the daemon serves on."""
 
 import json
 import socket
@@ -52,7 +52,7 @@
 
 
 def check_typed(answer):
-    """Check that an answer is whole, or an error that says what ran."""
+    """Check that an answer is a success, or an error that says whether it ran."""
     assert answer.status != 500, answer.data
     if answer.status != 200:
         error = json.loads(answer.data)["error"]
@@ -83,18 +83,18 @@
 
 
 @pytest.mark.parametrize("code", [200, 302, 403, 418, 499, 599, 799])
-def test_every_status_of_a_service_has_a_line(code):
-    """A booking's caller reads a bare 500, though its call ran and was answered.
+def test_every_status_of_a_service_has_a_status_line(code):
+    """Guards against a bare 500 for a call that ran and was answered.
 
-    The service had answered 403; the daemon knew lines for its own codes only.
+    A service had answered 403, and the daemon had status lines for its own codes only.
     """
     number, phrase = status_line(code).split(" ", 1)
     assert int(number) == code
     assert phrase
 
 
-def test_what_is_not_http_harms_nobody(fleet):
-    """A stranger sends bytes that are no request, and half a request, and leaves."""
+def test_input_that_is_not_http_leaves_the_daemon_serving(fleet):
+    """A client sends bytes that are no request, or half of one, and disconnects."""
     host, port = fleet.daemons[0].address.split(":")
     for sent in (b"\x00\xff" * 500, b"GET / HTTP/9.9\r\n\r\n", b"POST / HT"):
         with socket.create_connection((host, int(port))) as connection:
@@ -105,7 +105,7 @@
 
 
 def test_a_body_beyond_the_limit_is_refused(fleet):
-    """The server itself refuses it, before the daemon sees a request."""
+    """The HTTP server refuses it before a request reaches the chain of filters."""
     answer = post(fleet, COMPLETIONS_PATH, b" " * (17 << 20))
     assert answer.status == 413
 
@@ -125,11 +125,11 @@
         daemon.stop()
 
 
-def test_stand_ins_that_answer_nonsense(fleet):
-    """The platform and the engine answer what is not JSON; callers get types.
+def test_malformed_answers_of_the_platform_and_an_engine(fleet):
+    """The platform and the engine answer with what is not JSON.
 
-    A booking is refused as not run, a completion fails with a type; once they talk
-    sense again the daemon serves without a restart.
+    A booking is refused as not run and a completion fails with a typed error. When
+    their answers are valid again the daemon serves without a restart.
     """
     fleet.set_fault(fleet.key_value, "nonsense")
     fleet.set_fault(fleet.vm_list, "nonsense")
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,4 +1,4 @@
-"""Claims and configuration on real processes, with the order forced by faults."""
+"""Claims and configuration with real processes; faults force the order of events."""
 
 import json
 import signal
@@ -26,7 +26,7 @@
 
 
 def book(daemon, key):
-    """Book a slot and return the answer; the connection is never used again."""
+    """Book a slot over a connection of its own and return the answer."""
     return urllib3.request(
         "POST",
         f"http://{daemon.address}/v1/services/booking/slots",
@@ -42,7 +42,7 @@
 
 
 def wait_for_claim(daemon, key):
-    """Repeat a call while another has it, and return the first other answer."""
+    """Repeat a call while the key is claimed, and return the first other answer."""
     answers = []
 
     def has_ended():
@@ -55,7 +55,7 @@
 
 @contextmanager
 def claim_held(fleet, key):
-    """Book at the first daemon, whose claim is written but not yet answered."""
+    """Book at the first daemon while the store holds back the answer to its claim."""
     answers = []
 
     def call():
@@ -73,10 +73,10 @@
 
 
 def test_a_booking_whose_claims_answer_is_lost_runs_once(fleet):
-    """The claim is written and its answer lost; then the caller repeats elsewhere.
+    """The claim is written and its answer lost; the caller repeats at another daemon.
 
     The first daemon finds its own nonce in the store and books. The second finds
-    the claim and gives the first one's answer again.
+    the claim and returns the first one's answer.
     """
     fleet.set_fault(fleet.key_value, "drop_next_answer", count=1, path=CLAIMS_PATH)
     first = book(fleet.daemons[0], "lost")
@@ -88,7 +88,7 @@
 
 
 def test_in_an_outage_a_booking_is_refused_and_did_not_run(fleet):
-    """The store is out: no claim, so nothing is sent. Later the key still works."""
+    """Without the store there is no claim, so nothing is sent; the key stays usable."""
     fleet.set_fault(fleet.key_value, "outage", path=CLAIMS_PATH)
     refused = book(fleet.daemons[0], "out")
     assert refused.status == 503
@@ -103,8 +103,9 @@
 def test_a_paused_holder_is_the_only_one_that_books(fleet):
     """The first daemon is stopped between its claim and the booking.
 
-    The caller repeats at the second, which may not take the claim over: the first
-    goes on later and books. Taken over, the slot would be booked twice.
+    The caller repeats the call at the second daemon, which must not take over the
+    claim: the first daemon continues later and books. Otherwise the slot would be
+    booked twice.
     """
     first, second = fleet.daemons[:2]
     with claim_held(fleet, "paused") as answers:
@@ -123,11 +124,11 @@
 
 
 def test_a_change_reaches_every_daemon_though_the_platform_reads_stale(fleet, tmp_path):
-    """An operator's change is accepted, and from then on every read is old.
+    """An operator's change is accepted, and from then on every read is stale.
 
-    The other daemons can learn of it from peers only, and the reads that offer the
-    old version must not turn it back. A daemon that starts in an outage right
-    after gets it from peers too, before it says that it is ready.
+    The other daemons can receive the change from peers only, and reads of the old
+    version must not undo it. A daemon that then starts in an outage receives it from
+    peers too, before it reports that it is ready.
     """
     fleet.set_fault(fleet.key_value, "stale_reads")
     get(fleet.key_value, "/v1/keys/config%2Fcurrent")
@@ -146,13 +147,13 @@
             lambda d=daemon: version_of(d) == version, f"{daemon.name} at {version}"
         )
     fleet.set_fault(fleet.key_value, "outage")
-    newcomer = start_daemon(fleet, tmp_path)
+    started = start_daemon(fleet, tmp_path)
     try:
-        newcomer.wait_until_ready()
-        wait_for(lambda: is_ready(newcomer), "a daemon that starts in an outage")
-        assert version_of(newcomer) == version
+        started.wait_until_ready()
+        wait_for(lambda: is_ready(started), "a daemon that starts in an outage")
+        assert version_of(started) == version
     finally:
-        newcomer.stop()
+        started.stop()
     assert {version_of(daemon) for daemon in fleet.daemons} == {version}
 
 
@@ -165,7 +166,7 @@
 
 
 def start_daemon(fleet, folder):
-    """Start one more daemon with the settings of the first but for its name."""
+    """Start one more daemon with the first one's settings and its own id."""
     template = fleet.daemons[0].log_file.with_suffix(".json")
     settings = {**json.loads(template.read_text()), "daemon_id": "entry-z"}
     path = folder / "entry-z.json"
@@ -174,10 +175,10 @@
 
 
 def test_the_steward_of_an_engine_has_it_load_the_wanted_version(fleet):
-    """An engine comes up with a version that operators no longer want.
+    """An engine starts with a version that operators no longer list.
 
-    One of three daemons orders the wanted one, with a fence from the platform, and
-    the others do not repeat it.
+    One of three daemons orders it to load the listed one, with a fencing number from
+    the platform, and the others don't repeat the order.
     """
     engine = fleet.engines[0]
     old = {"order": "load_model", "model": "drafter", "version": "0", "fence": 0}
@@ -192,8 +193,8 @@
 def test_a_daemon_killed_with_its_claim_leaves_it_unknown(fleet):
     """The first daemon is killed after its claim was written, before it booked.
 
-    Nobody can know that it did not book, so the claim stays: the repeat at another
-    daemon does not run, and says so.
+    No other daemon can find out that it did not book, so the claim stays: a repeated
+    call at another daemon is not run, and is answered with an unknown outcome.
     """
     first, second = fleet.daemons[:2]
     with claim_held(fleet, "killed") as answers:
