--- a/cranberrywick/configuration/document.py
+++ b/cranberrywick/configuration/document.py
@@ -140,8 +140,8 @@
     """
     size = len(text.encode() if isinstance(text, str) else text)
     if size > DOCUMENT_LIMIT_BYTES:
-        wanted = f"at most {DOCUMENT_LIMIT_BYTES} bytes"
-        raise InvalidConfiguration(str(Problem("$", f"{size} bytes", wanted)))
+        expected = f"at most {DOCUMENT_LIMIT_BYTES} bytes"
+        raise InvalidConfiguration(str(Problem("$", f"{size} bytes", expected)))
     try:
         # Brackets nested thousands deep raise RecursionError.
         document = json.loads(text)
--- a/cranberrywick/configuration/operator_api.py
+++ b/cranberrywick/configuration/operator_api.py
@@ -35,10 +35,10 @@
 __all__ = ["PREFIX", "EndpointRow", "OperatorApi"]
 
 PREFIX = "/operator/v1/"
-# Largest request body, in bytes: the largest document and 4 KiB for the other fields.
+# Largest request body, in bytes: the largest document, and 4 KiB for other fields.
 BODY_LIMIT_BYTES = DOCUMENT_LIMIT_BYTES + 4096
-# Length of an operator's id, the start of their key's digest: enough to tell operators
-# apart in the history.
+# Length of an operator's id, the start of their key's digest: enough to distinguish
+# operators in the history.
 OPERATOR_ID_CHARACTERS = 8
 CHANGE_ID_LIMIT_CHARACTERS = 64
 
--- a/cranberrywick/configuration/settings.py
+++ b/cranberrywick/configuration/settings.py
@@ -104,7 +104,12 @@
 
 
 class DaemonSettings(NamedTuple):
-    """The settings of one daemon; addresses are ``ip:port``."""
+    """The settings of one daemon.
+
+    ``listen`` and ``peer_listen`` are ``ip:port``; ``key_value``, ``vm_list`` and
+    ``weight_store`` are URLs of the platform's services. ``operator_keys`` are the
+    SHA-256 of operators' keys in lower-case hex.
+    """
 
     daemon_id: str
     failure_domain: str
--- a/cranberrywick/external/key_value.py
+++ b/cranberrywick/external/key_value.py
@@ -297,8 +297,8 @@
 def _listing(fields: dict) -> Listing:
     revision = int(fields["store_revision"])
     entries = tuple(
-        _entry(found["key"], {**found, "store_revision": revision})
-        for found in fields["entries"]
+        _entry(row["key"], {**row, "store_revision": revision})
+        for row in fields["entries"]
     )
     return Listing(entries, revision)
 
--- a/cranberrywick/external/vms.py
+++ b/cranberrywick/external/vms.py
@@ -62,10 +62,10 @@
         fields = self._client.call("GET", "/v1/vms").fields
         try:
             revision = int(fields["revision"])
-            found = [_parse_vm(vm) for vm in fields["vms"]]
+            vms = [_parse_vm(vm) for vm in fields["vms"]]
         except (KeyError, TypeError, ValueError) as error:
             raise PlatformUnavailable(f"malformed VM list: {error!r}") from error
-        return VmListing(revision, {vm.vm_id: vm for vm in found if vm is not None})
+        return VmListing(revision, {vm.vm_id: vm for vm in vms if vm is not None})
 
 
 def _parse_vm(fields: dict) -> Vm | None:
--- a/cranberrywick/filters/dispatch.py
+++ b/cranberrywick/filters/dispatch.py
@@ -193,7 +193,7 @@
 
     def _send_to(self, endpoint: Endpoint, exchange: Exchange, call: Call) -> Response:
         # Set before the first byte is sent: from here on the answer is "not run" only
-        # if the error of the endpoint's client says so.
+        # if the error that ends this attempt says so.
         exchange.sent = True
         answer = send(endpoint.address, call)
         try:
--- a/cranberrywick/filters/replay.py
+++ b/cranberrywick/filters/replay.py
@@ -27,7 +27,7 @@
     """Claims the call's ``Idempotency-Key`` before anything is sent.
 
     Without a claim, a call that gets no answer and is repeated at another entry takes
-    effect twice (a booking is made two times): neither daemon knows that the other
+    effect twice (a booking is made two times): neither daemon can see that the other
     has sent it. With a claim, the second daemon finds it in the platform's key-value
     service and answers from it. A claim never changes its owner, so that a daemon that
     was paused can go on and is still the only one to send.
--- a/cranberrywick/platform/headers.py
+++ b/cranberrywick/platform/headers.py
@@ -67,7 +67,7 @@
 
 
 class RequestMeta(NamedTuple):
-    """What a caller's headers say.
+    """The decoded headers of a caller's request.
 
     Missing and unreadable values are None; a missing ``request_id`` is empty.
     """
@@ -80,7 +80,7 @@
 
 
 class ResponseMeta(NamedTuple):
-    """What an endpoint's headers say.
+    """The decoded headers of an endpoint's answer.
 
     ``not_executed`` says that the endpoint did not run the request; ``sealed`` marks
     an answer of the endpoint itself, not of something in between. ``running`` and
@@ -120,7 +120,7 @@
 
 
 def decode_request(headers: Iterable[tuple[bytes, bytes]]) -> RequestMeta:
-    """Return what a caller's headers say; their names must be in lower case."""
+    """Decode a caller's headers, whose names must be in lower case."""
     by_name = dict(headers)
     return RequestMeta(
         request_id=_decode_text(by_name.get(REQUEST_ID)) or "",
@@ -132,7 +132,7 @@
 
 
 def decode_response(status: int, headers: Mapping[bytes, bytes]) -> ResponseMeta:
-    """Return what an endpoint's headers say; their names must be in lower case."""
+    """Decode the headers of an endpoint's answer; names must be in lower case."""
     # An endpoint refuses a request for another instance with status 421, without the
     # header.
     not_executed = NOT_EXECUTED in headers or status == 421
