--- a/cranberrywick/controllers/__init__.py
+++ b/cranberrywick/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers: the actors that keep state current."""
+"""Controllers: the actors and threads that keep a daemon's state current."""
--- a/cranberrywick/controllers/actor.py
+++ b/cranberrywick/controllers/actor.py
@@ -1,4 +1,4 @@
-"""The base of the controllers: an actor that outlives a failure in one message."""
+"""The base class of the controllers: an actor that survives an exception in a call."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -20,15 +20,16 @@
 class Controller(pykka.ThreadingActor):
     """An actor whose messages are calls of its own methods.
 
-    Plain actors stop for good at the first exception, and a proxy keeps it in a
-    future that no one reads. Here it is logged, and the next message is served:
-    state is only ever replaced by a later message that is complete in itself.
+    A plain pykka actor stops at the first exception, and a proxy stores the
+    exception in a future that nobody reads. A controller logs it and runs the next
+    call. That is safe because each message is complete in itself: a later one
+    replaces whatever state the failed call left.
     """
 
     use_daemon_thread = True
 
     def on_receive(self, message: _Call) -> None:
-        """Run one call."""
+        """Run one call, and log the exception if it raises one."""
         try:
             message.method(self, *message.arguments)
         except Exception as error:
@@ -37,7 +38,7 @@
 
 
 class ControllerHandle:
-    """Tells a controller what to do, without waiting.
+    """Starts a controller and queues calls for it without waiting for them.
 
     >>> grants = ControllerHandle(GrantsController, myself, outbox)
     >>> grants.tell(GrantsController.tick)
@@ -48,7 +49,7 @@
 
     @property
     def waiting(self) -> int:
-        """How many calls have not been run yet."""
+        """The number of queued calls that have not been run yet."""
         return self._ref.actor_inbox.qsize()
 
     def tell(self, method: Callable[..., None], *arguments: object) -> None:
@@ -56,9 +57,9 @@
         try:
             self._ref.tell(_Call(method, arguments))
         except pykka.ActorDeadError:
-            # Late timers and datagrams of a node that has stopped.
+            # A timer or datagram can still arrive after the node has stopped.
             pass
 
     def stop(self) -> None:
-        """Run what is queued, then end."""
+        """Run the queued calls, then stop the actor."""
         self._ref.stop()
--- a/cranberrywick/controllers/authority.py
+++ b/cranberrywick/controllers/authority.py
@@ -1,8 +1,8 @@
-"""Holds the platform's leases that name this daemon steward of shards.
+"""Holds the platform's lease that makes this daemon the only steward of its shards.
 
-Only shards with an endpoint that does not bear all its slots need one. All of a
-daemon's shards hang on a single lease, so that keeping them costs one call each few
-seconds however many there are.
+Only shards need it in which some endpoint can't yet serve all its slots, such as a
+cold one. The keys of all of a daemon's shards are attached to a single lease, so that
+renewing them costs one call every few seconds, whatever their number.
 """
 
 import random
@@ -23,23 +23,29 @@
 
 __all__ = ["ShardAuthority"]
 
-# Three renewals may fail before the lease lapses, and it outlasts a grant of nine
-# seconds at the worst moment of the first two.
+# Lifetime of a lease, in seconds. Three renewals may fail before it lapses, and when
+# the second one in a row fails it still lasts as long as a grant of nine seconds.
 LEASE_SECONDS = 20.0
+# Interval between renewals, in seconds.
 KEEP_ALIVE_SECONDS = 5.0
+# Pause before the next attempt, in seconds, when the lease has lapsed, a shard is
+# held by another daemon or the platform did not answer.
 RETRY_SECONDS = 2.0
-# After an outage the stewards come back spread over this time.
+# Longest random addition to that pause after an outage, in seconds, so that the
+# stewards do not all return at the same moment.
 RETRY_SPREAD_SECONDS = 3.0
-# What the platform's clock may run fast by, and the writing of the answer take.
-SAFETY = 0.95
+# Share of a lease's lifetime that is relied on here. The rest allows for a platform
+# clock that runs fast and for the time that the platform takes to write its answer.
+LEASE_SAFETY = 0.95
 
 
 class ShardAuthority:
-    """Takes and keeps leases on a thread of its own; see `controllers.grants`.
+    """Acquires and renews the lease on a thread of its own.
 
-    A lease counts from before it was asked for, so that here it ends before the
-    platform gives it to another. It is never given back early: grants made under it
-    may still be in force.
+    It is the `Authority` of `cranberrywick.controllers.grants`. A lease counts from
+    before it was asked for, so that it ends here before the platform gives its shards
+    to another daemon. It is never given back early, because grants made under it may
+    still be in force.
     """
 
     def __init__(
@@ -54,12 +60,12 @@
         self._rng = random.Random(seed)
         self._clock = clock
         self._log = EventLog(daemon=daemon_id, part="authority")
-        # Replaced whole; written by one thread and read by another.
+        # Replaced as a whole, never changed: one thread writes and another reads.
         self._wanted: frozenset[Shard] = frozenset()
         self._held: frozenset[Shard] = frozenset()
         self._until = float("-inf")
         self._lease: Lease | None = None
-        self._kept_at = float("-inf")
+        self._renewed_at = float("-inf")
         self._wake = threading.Event()
         self._stopping = False
         self._thread = threading.Thread(
@@ -67,23 +73,26 @@
         )
 
     def start(self) -> None:
-        """Start to take what is wanted."""
+        """Start the thread that acquires the wanted shards."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Let the leases lapse."""
+        """Stop renewing and wait for the thread; the lease lapses by itself."""
         self._stopping = True
         self._wake.set()
         self._thread.join()
 
-    def want(self, shards: frozenset[Shard]) -> None:
-        """Replace the shards to hold; they are taken and kept in the background."""
+    def set_wanted(self, shards: frozenset[Shard]) -> None:
+        """Replace the shards to hold; they are acquired in the background."""
         if shards - self._wanted:
             self._wake.set()
         self._wanted = shards
 
-    def until(self, shard: Shard) -> float | None:
-        """Return until when the shard is held, None if it is not; never waits."""
+    def held_until(self, shard: Shard) -> float | None:
+        """Return until when the shard is held, on the clock of this object.
+
+        Returns None if the shard isn't held. Never waits.
+        """
         until = self._until
         return until if shard in self._held and self._clock() < until else None
 
@@ -93,27 +102,30 @@
             self._wake.wait(pause)
             self._wake.clear()
             if not self._stopping:
-                pause = self._turn()
+                pause = self._update()
+
+    def _update(self) -> float | None:
+        """Renew the lease and acquire missing shards.
 
-    def _turn(self) -> float | None:
-        """Do what is due and return when to come back, in seconds."""
+        Returns the pause until the next update in seconds, None if nothing is wanted.
+        """
         wanted = self._wanted
         if not wanted:
-            # Unrenewed it lapses, and with it the keys.
-            self._forget()
+            # Without renewal the lease lapses, and the platform deletes its keys.
+            self._drop_lease()
             return None
         try:
             self._renew()
-            missing = [shard for shard in sorted(wanted) if not self._take(shard)]
+            missing = [shard for shard in sorted(wanted) if not self._acquire(shard)]
         except LeaseLapsed:
-            self._forget()
+            self._drop_lease()
             return RETRY_SECONDS
         except PlatformUnavailable as error:
             self._log.info("authority_delayed", error=error)
             return RETRY_SECONDS + self._rng.uniform(0, RETRY_SPREAD_SECONDS)
         return RETRY_SECONDS if missing else KEEP_ALIVE_SECONDS
 
-    def _forget(self) -> None:
+    def _drop_lease(self) -> None:
         self._held = frozenset()
         self._until = float("-inf")
         self._lease = None
@@ -121,22 +133,23 @@
     def _renew(self) -> None:
         now = self._clock()
         if self._lease is None or now >= self._until:
-            self._forget()
+            self._drop_lease()
             self._lease = self._store.grant_lease(LEASE_SECONDS)
-            self._kept(now)
-        elif now - self._kept_at >= KEEP_ALIVE_SECONDS / 2:
+            self._record_renewal(now)
+        elif now - self._renewed_at >= KEEP_ALIVE_SECONDS / 2:
             self._store.keep_alive(self._lease.lease_id)
-            self._kept(now)
+            self._record_renewal(now)
 
-    def _kept(self, asked_at: float) -> None:
-        self._kept_at = asked_at
-        self._until = asked_at + self._lease.ttl_seconds * SAFETY
+    def _record_renewal(self, asked_at: float) -> None:
+        self._renewed_at = asked_at
+        self._until = asked_at + self._lease.ttl_seconds * LEASE_SAFETY
 
-    def _take(self, shard: Shard) -> bool:
+    def _acquire(self, shard: Shard) -> bool:
         if shard in self._held:
             return True
         key = f"stewards/{shard.region}/{shard.number}"
-        # Names the lease, for an earlier run of this daemon may have left a key.
+        # The value names the lease, because an earlier run of this daemon may have
+        # left a key under its own lease.
         value = f"{self._daemon_id} {self._lease.lease_id}"
         try:
             self._store.put(key, value, expected_revision=0, lease=self._lease.lease_id)
--- a/cranberrywick/controllers/grants.py
+++ b/cranberrywick/controllers/grants.py
@@ -42,20 +42,20 @@
 class Authority(Protocol):
     """The platform's word that this daemon alone is steward of a shard."""
 
-    def want(self, shards: frozenset[Shard]) -> None:
+    def set_wanted(self, shards: frozenset[Shard]) -> None:
         """Replace the shards to hold; they are taken and kept in the background."""
 
-    def until(self, shard: Shard) -> float | None:
+    def held_until(self, shard: Shard) -> float | None:
         """Return until when the shard is held, None if it is not; never waits."""
 
 
 class NoAuthority:
     """Without a platform there is none, and cold endpoints get nothing."""
 
-    def want(self, shards: frozenset[Shard]) -> None:
+    def set_wanted(self, shards: frozenset[Shard]) -> None:
         """Ignore the wish."""
 
-    def until(self, shard: Shard) -> float | None:
+    def held_until(self, shard: Shard) -> float | None:
         """Return None."""
         return None
 
@@ -160,9 +160,9 @@
             for endpoint_id, ledger in self._ledgers_by_id.items()
             if ledger.load is not None and ledger.needs_authority
         )
-        self._authority.want(wanted)
+        self._authority.set_wanted(wanted)
         for endpoint_id, ledger in self._ledgers_by_id.items():
-            until = self._authority.until(self._shard_by_endpoint[endpoint_id])
+            until = self._authority.held_until(self._shard_by_endpoint[endpoint_id])
             if until is not None:
                 ledger.record_authority(until, now)
 
@@ -227,7 +227,7 @@
         ledger = self._ledgers_by_id.get(entry.endpoint_id)
         if ledger is None:
             return 0.0, GrantEntry(entry.endpoint_id, 0, False, None)
-        until = self._authority.until(self._shard_by_endpoint[entry.endpoint_id])
+        until = self._authority.held_until(self._shard_by_endpoint[entry.endpoint_id])
         limit = ledger.limit
         granted = ledger.demand(holder, round, entry, now, until)
         if ledger.limit < limit or ledger.is_short(now):
--- a/tests/test_grants_authority.py
+++ b/tests/test_grants_authority.py
@@ -20,7 +20,7 @@
 
     def authority(self, daemon_id):
         authority = ShardAuthority(self.store, daemon_id, 1, lambda: self.now)
-        authority.want(WANTED)
+        authority.set_wanted(WANTED)
         return authority
 
 
@@ -31,10 +31,10 @@
 
 def test_one_daemon_at_a_time_holds_a_shard(platform):
     first, second = platform.authority("e1"), platform.authority("e2")
-    first._turn()
-    second._turn()
-    assert first.until(SHARD) > platform.now
-    assert second.until(SHARD) is None
+    first._update()
+    second._update()
+    assert first.held_until(SHARD) > platform.now
+    assert second.held_until(SHARD) is None
 
 
 def test_it_ends_here_before_the_platform_gives_it_away(platform):
@@ -44,25 +44,25 @@
     more, by its own clock and without asking.
     """
     first, second = platform.authority("e1"), platform.authority("e2")
-    first._turn()
+    first._update()
     for _ in range(100):
         platform.now += LEASE_SECONDS / 50
-        second._turn()
-        assert first.until(SHARD) is None or second.until(SHARD) is None
-    assert second.until(SHARD) is not None
+        second._update()
+        assert first.held_until(SHARD) is None or second.held_until(SHARD) is None
+    assert second.held_until(SHARD) is not None
 
 
 def test_it_is_kept_while_it_is_wanted(platform):
     authority = platform.authority("e1")
     for _ in range(20):
-        pause = authority._turn()
+        pause = authority._update()
         platform.now += pause
-        assert authority.until(SHARD) is not None
+        assert authority.held_until(SHARD) is not None
     calls = sum(platform.standin.counts_by_kind.values())
     assert calls <= 22
-    authority.want(frozenset())
-    assert authority._turn() is None
-    assert authority.until(SHARD) is None
+    authority.set_wanted(frozenset())
+    assert authority._update() is None
+    assert authority.held_until(SHARD) is None
 
 
 @pytest.mark.parametrize("path", ["/v1/leases", "/v1/keys"])
@@ -74,29 +74,29 @@
     """
     first, second = platform.authority("e1"), platform.authority("e2")
     platform.standin.faults.set("drop_next_answer", count=1, path=path)
-    first._turn()
-    second._turn()
-    first._turn()
-    holders = [each for each in (first, second) if each.until(SHARD) is not None]
+    first._update()
+    second._update()
+    first._update()
+    holders = [each for each in (first, second) if each.held_until(SHARD) is not None]
     assert len(holders) == 1
 
 
 def test_a_lost_request_gives_no_second_holder(platform):
     first, second = platform.authority("e1"), platform.authority("e2")
-    first._turn()
+    first._update()
     platform.standin.faults.set("lose_next_request", count=1, path="/v1/keys")
-    second._turn()
-    assert second.until(SHARD) is None
+    second._update()
+    assert second.held_until(SHARD) is None
 
 
 def test_in_an_outage_it_lapses_and_comes_back_spread(platform):
     authorities = [platform.authority(f"e{i}") for i in range(2)]
-    authorities[0]._turn()
+    authorities[0]._update()
     platform.standin.faults.set("outage")
-    pauses = {round(each._turn(), 3) for each in authorities for _ in range(10)}
+    pauses = {round(each._update(), 3) for each in authorities for _ in range(10)}
     assert len(pauses) > 10 and min(pauses) >= 2.0
     platform.now += LEASE_SECONDS
-    assert authorities[0].until(SHARD) is None
+    assert authorities[0].held_until(SHARD) is None
     platform.standin.faults.clear()
-    authorities[1]._turn()
-    assert authorities[1].until(SHARD) is not None
+    authorities[1]._update()
+    assert authorities[1].held_until(SHARD) is not None
--- a/tests/test_grants_exchange.py
+++ b/tests/test_grants_exchange.py
@@ -16,10 +16,10 @@
     def __init__(self, clock):
         self._clock = clock
 
-    def want(self, shards):
+    def set_wanted(self, shards):
         pass
 
-    def until(self, shard):
+    def held_until(self, shard):
         return self._clock() + 15.0
 
 
