--- a/cranberrywick/controllers/configuration.py
+++ b/cranberrywick/controllers/configuration.py
@@ -1,9 +1,10 @@
-"""Keeps the configuration in force up to date, and never turns it back.
+"""Keeps the configuration in force current and never returns to an older version.
 
-A version reaches a daemon by its own change, by one watch on the platform, or from
-a peer. All three are offers to one actor, which puts an offer in force only when
-it is newer. Requests read `ConfigurationController.current`, an attribute that is
-replaced whole, so none ever waits for the actor or for the platform.
+A daemon learns of a version by changing the configuration itself, by a watch on the
+platform, or from a peer. All three offer the version to one actor, which puts it in
+force only if it is newer. Requests read `ConfigurationController.current`, an
+attribute that is replaced as a whole, so that no request waits for the actor or for
+the platform.
 """
 
 import random
@@ -25,13 +26,17 @@
 
 __all__ = ["ConfigurationController"]
 
-# A watch may miss an event, so each one ends with a read. At 320 daemons one watch
-# and one read each ten seconds are 64 calls a second, 3% of the platform's reads.
+# Longest duration of one watch, in seconds. A watch may miss an event, so each one
+# ends with a read. At 320 daemons, one watch and one read per daemon every ten
+# seconds are 64 calls per second, 3% of the platform's reads.
 WATCH_SECONDS = 10.0
-# Full jitter up to the cap spreads 320 daemons' return from an outage over it.
+# The pause before a retry, in seconds, is drawn between zero and a cap that doubles
+# with each failure between these two. The full jitter spreads the return of 320
+# daemons after an outage over the cap.
 RETRY_MINIMUM_SECONDS = 0.2
 RETRY_MAXIMUM_SECONDS = 5.0
-# Bounds the calls a second where watches end at once, as after a burst of changes.
+# Pause between two watches, in seconds. It bounds the rate of calls when watches end
+# at once, as they do during a burst of changes.
 WATCH_PAUSE_SECONDS = 0.1
 
 _log = EventLog(part="configuration")
@@ -43,10 +48,10 @@
 
 
 class _Publisher(pykka.ThreadingActor):
-    """Decides on offers one after another; it never calls the platform.
+    """Decides on the offered versions one after another; never calls the platform.
 
-    Were the platform called here, a version from a peer would wait behind a call
-    that hangs, just when peers are the only source left.
+    If it did, a version from a peer would wait behind a platform call that hangs,
+    during the outages in which peers are the only source of new versions.
     """
 
     use_daemon_thread = True
@@ -60,7 +65,7 @@
 
 
 class ConfigurationController:
-    """The configuration in force, kept up to date from `start` to `stop`.
+    """Holds the configuration in force, and keeps it current from `start` to `stop`.
 
     >>> controller = ConfigurationController(open_key_value_store(urls))
     >>> controller.start()
@@ -72,7 +77,7 @@
         self._key_value = key_value
         self.store = ConfigurationStore(key_value)
         self._random = random.Random(seed)
-        # Replaced whole by the publisher alone; reading it needs no lock.
+        # Only the publisher replaces it, as a whole, so that reading needs no lock.
         self.current: AcceptedConfiguration | None = None
         self._callbacks: list[Callable[[AcceptedConfiguration], None]] = []
         self._changed = threading.Condition()
@@ -84,25 +89,25 @@
 
     @property
     def ready(self) -> bool:
-        """Whether a configuration is in force that operators have accepted."""
+        """Whether a version that operators have accepted is in force."""
         return self.current is not None and self.current.version > 0
 
     def on_change(self, callback: Callable[[AcceptedConfiguration], None]) -> None:
-        """Call back with each new version, on the controller's thread."""
+        """Call ``callback`` with each new version, on the actor's thread."""
         self._callbacks.append(callback)
 
     def start(self) -> None:
-        """Start the actor and the watch."""
+        """Start the actor and the thread that watches the platform."""
         self._publisher = _Publisher.start(self)
         self._watcher.start()
 
     def stop(self) -> None:
-        """Stop both; the watch thread ends with the call it is in."""
+        """Stop the actor; the watch thread ends when its current call returns."""
         self._stopping.set()
         self._publisher.stop()
 
     def offer_from_peer(self, version: int, change_id: str, document: dict) -> None:
-        """Take a version that a peer has in force; an old one changes nothing.
+        """Put a version that a peer has in force also in force here, if it is newer.
 
         Raises `InvalidConfiguration` for a document that this daemon can't use.
         """
@@ -115,9 +120,10 @@
     def change(
         self, edit: Callable[[dict], dict], **options: object
     ) -> AcceptedConfiguration:
-        """Change the document as `ConfigurationStore.change` does, in force here.
+        """Change the document by `ConfigurationStore.change` and put it in force here.
 
-        Runs on the caller's thread and may take as long as the platform does.
+        ``options`` are passed on to that method, and its errors are raised here. Runs
+        on the caller's thread and waits for the platform and for the actor.
         """
         floor = self.current.version if self.current else 0
         accepted = self.store.change(edit, floor_version=floor, **options)
@@ -125,7 +131,10 @@
         return accepted
 
     def wait_for_version(self, version: int, timeout: float) -> bool:
-        """Wait until at least ``version`` is in force here; say whether it is."""
+        """Wait until ``version`` or a newer one is in force here.
+
+        Returns False if that has not happened after ``timeout`` seconds.
+        """
         with self._changed:
             return self._changed.wait_for(
                 lambda: self.current is not None and self.current.version >= version,
@@ -133,12 +142,13 @@
             )
 
     def _put_in_force(self, offer: _Offer) -> bool:
-        # A stale read, a watch out of order and a slow peer all offer versions that
-        # were replaced; taking one would bring back targets, keys or a failure
-        # domain that operators have withdrawn. Only a greater version is taken.
+        # A stale read, a watch event out of order and a slow peer all offer versions
+        # that have been replaced. Putting one in force would restore targets, keys or
+        # a failure domain that operators have withdrawn, so only a greater version is
+        # accepted.
         current = self.current
         if current is not None and offer.accepted.order <= current.order:
-            self._complete(offer.accepted)
+            self._add_missing_changes(offer.accepted)
             return False
         with self._changed:
             self.current = offer.accepted
@@ -150,20 +160,20 @@
             source=offer.source,
         )
         for callback in self._callbacks:
-            self._call_back(callback, offer.accepted)
+            self._notify(callback, offer.accepted)
         return True
 
-    def _complete(self, accepted: AcceptedConfiguration) -> None:
-        """Add the list of changes, which a peer's copy of a version lacks."""
+    def _add_missing_changes(self, accepted: AcceptedConfiguration) -> None:
+        """Add the list of changes if the version in force came without it, from a peer."""
         if accepted.order == self.current.order and not self.current.changes:
             self.current = accepted
 
-    def _call_back(
+    def _notify(
         self,
         callback: Callable[[AcceptedConfiguration], None],
         accepted: AcceptedConfiguration,
     ) -> None:
-        # One subscriber's fault must not keep the version from the others.
+        # An exception in one callback must not keep the version from the others.
         try:
             callback(accepted)
         except Exception as error:
@@ -186,7 +196,10 @@
                 self._stopping.wait(self._retry_pause(failures))
 
     def _watch_once(self, after: int | None) -> int:
-        """Read once, or wait for a change and read; return the revision to go on."""
+        """Wait for a change, unless ``after`` is None, and read the configuration.
+
+        Returns the store revision after which the next watch starts.
+        """
         if after is None:
             self._offer(self.store.read_latest(), "platform")
         else:
@@ -195,8 +208,8 @@
                 self._offer_text(event.value)
         entry = self._key_value.get(CURRENT_KEY)
         self._offer_text(entry.value)
-        # A stale read gives an old revision; to watch from there would answer at
-        # once, again and again.
+        # A stale read returns an old revision. A watch after that one would return at
+        # once every time.
         return max(after or 0, entry.store_revision)
 
     def _offer_text(self, text: str | None) -> None:
@@ -205,7 +218,8 @@
         try:
             accepted = parse_envelope(text)
         except InvalidConfiguration as error:
-            # Written by a newer program, or by hand: what is in force stays.
+            # A newer program or an operator by hand wrote it; the version in force
+            # stays.
             _log.error("configuration_unusable", error=error)
             return
         self._offer(accepted, "platform")
