--- a/cranberrywick/controllers/configuration.py
+++ b/cranberrywick/controllers/configuration.py
@@ -164,7 +164,7 @@
         return True
 
     def _add_missing_changes(self, accepted: AcceptedConfiguration) -> None:
-        """Add the list of changes if the version in force came without it, from a peer."""
+        """Add the list of changes, which a version from a peer comes without."""
         if accepted.order == self.current.order and not self.current.changes:
             self.current = accepted
 
--- a/cranberrywick/controllers/endpoints.py
+++ b/cranberrywick/controllers/endpoints.py
@@ -1,7 +1,7 @@
 """The controller that keeps the endpoints' state current.
 
-It joins the VM list with the configuration's endpoint kinds, asks endpoints for
-their load, and tells the dispatcher what holds now.
+It joins the VM list with the configuration's endpoint kinds, requests the load of
+endpoints, and reports the current state to the dispatcher.
 """
 
 import time
@@ -22,22 +22,27 @@
 
 __all__ = ["EndpointBoard", "EndpointController"]
 
+# Shortest interval between two reads of the VM list, in seconds.
 LIST_SECONDS = 1.0
+# Interval between two rounds of load requests, in seconds.
 LOAD_SECONDS = 1.0
 
-# A quarter of what control may cost a daemon, and what one VM takes in the list.
+# Most bytes per second that a daemon may spend on reading the VM list, a quarter of
+# its limit for all control traffic.
 LIST_BYTES_PER_SECOND = 5_000
+# Size of one VM in the list, in bytes.
 LISTED_VM_BYTES = 164
 
-# Polls run side by side, so that one endpoint that does not answer delays no other.
+# Number of threads that request loads, in parallel so that an endpoint that does not
+# answer delays no other.
 LOAD_THREADS = 8
 
 
 class EndpointBoard:
-    """What the controller has found out, for the request threads to read.
+    """The endpoints' state that the controller publishes to the request threads.
 
-    Each attribute is replaced whole, and of ``loads_by_id`` single values, so that a
-    request reads it without a lock and without waiting for the actor.
+    Each attribute is replaced as a whole, and so is each value of ``loads_by_id``, so
+    that a request reads them without a lock and without waiting for the actor.
     """
 
     def __init__(self):
@@ -47,9 +52,16 @@
 
 
 class EndpointController(ThreadingActor):
-    """Keeps endpoints, their phases and their loads for one daemon."""
+    """Keeps the endpoints, their phases and their loads for one daemon.
 
-    # A daemon that fails to start must not be kept alive by its actors.
+    ``listed`` is called with the board after each new VM list or configuration,
+    ``heard`` with each load report that this daemon has requested, unless it is
+    outdated, and ``left`` with the id and incarnation of an endpoint that this daemon
+    finds to be leaving.
+    """
+
+    # The actor's thread must not keep the process of a daemon running whose start
+    # failed.
     use_daemon_thread = True
 
     def __init__(
@@ -68,67 +80,69 @@
         self._board = board
         self._dispatcher = dispatcher
         self._log = log
-        self._listed = listed
-        self._heard = heard
-        self._left = left
-        self._own_to_ask: frozenset[str] = frozenset()
+        self._on_listed = listed
+        self._on_load = heard
+        self._on_leaving = left
+        self._polled_ids: frozenset[str] = frozenset()
         self._clock = clock
         self._configuration: Configuration | None = None
         self._revision = -1
-        self._read_next_at = float("-inf")
-        self._told_leaving: frozenset[str] = frozenset()
+        self._next_read_at = float("-inf")
+        self._announced_leaving: frozenset[str] = frozenset()
         self._vms_by_id: Mapping[str, Vm] = {}
         self._phases = EndpointPhases()
         self._polling: set[str] = set()
         self._pollers = ThreadPoolExecutor(LOAD_THREADS, "load-poll")
 
     def on_stop(self) -> None:
-        """Let go of the polling threads."""
+        """Shut down the polling threads without waiting for them."""
         self._pollers.shutdown(wait=False, cancel_futures=True)
 
     def on_receive(self, message: Any) -> Any:
         """Ignore messages that are not method calls."""
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a configuration: its endpoint kinds and failure domains out."""
+        """Apply a configuration's targets, endpoint kinds and failure domains out."""
         self._configuration = configuration
         self._dispatcher.set_targets(configuration.targets_by_class)
         self._dispatcher.set_domains_out(configuration.domains_out)
         self._publish()
 
     def refresh_list(self) -> None:
-        """Read the VM list; in an outage the last list stays in force."""
+        """Read the VM list if it is due; during an outage the last list stays valid."""
         now = self._clock()
-        if now < self._read_next_at:
+        if now < self._next_read_at:
             return
         try:
             listing = self._vm_list.read()
         except CranberrywickError as error:
             self._log.warning("vm_list_unavailable", error=error)
             return
-        self._read_next_at = now + self._pause_between_reads(len(listing.vms_by_id))
+        self._next_read_at = now + self._read_interval(len(listing.vms_by_id))
         if listing.revision <= self._revision:
-            # Nothing new, or a replica that lags: its older list would bring back
-            # what has left.
+            # Either nothing has changed, or a replica that lags behind has answered:
+            # its older list would bring back endpoints that have left.
             return
         self._revision = listing.revision
         self._vms_by_id = listing.vms_by_id
         self._publish()
 
     @staticmethod
-    def _pause_between_reads(n_vms: int) -> float:
-        # Read each second by every daemon, a list of 940 VMs would be 154 KB a
-        # second each, seven times what control may cost. That some daemons read it
-        # later does no harm: whoever sees a leaving endpoint there tells the others.
+    def _read_interval(n_vms: int) -> float:
+        # A list of 940 VMs that is read each second would cost every daemon 154 KB
+        # per second, seven times its limit for control traffic. A late read does no
+        # harm: the first daemon that reads that an endpoint is leaving sends this to
+        # the others.
         return max(LIST_SECONDS, n_vms * LISTED_VM_BYTES / LIST_BYTES_PER_SECOND)
 
     def _publish(self) -> None:
         vms = self._vms_by_id.values()
         self._board.entry_vms = tuple(vm for vm in vms if vm.role is VmRole.ENTRY)
         if self._configuration is None:
-            # The entry VMs are told even so: a daemon that starts while the
-            # key-value service is out can have its configuration from them alone.
-            self._listed(self._board)
+            # The entry VMs are reported even without a configuration. A daemon that
+            # starts during an outage of the key-value service can fetch its
+            # configuration only from the daemons on these VMs.
+            self._on_listed(self._board)
             return
         endpoint_vms = [vm for vm in vms if vm.role is VmRole.ENDPOINT]
         endpoints = [self._endpoint(vm) for vm in endpoint_vms]
@@ -140,12 +154,12 @@
         leaving = [vm.vm_id for vm in endpoint_vms if vm.state is VmState.LEAVING]
         self._phases.set_listed(self._board.endpoints_by_id, leaving)
         self._dispatcher.set_endpoints(self._board.endpoints_by_id)
-        for endpoint_id in set(leaving) - self._told_leaving:
-            self._tell(endpoint_id)
-            self._left(endpoint_id, self._phases.incarnation(endpoint_id))
-        self._told_leaving = frozenset(leaving)
+        for endpoint_id in set(leaving) - self._announced_leaving:
+            self._report_current(endpoint_id)
+            self._on_leaving(endpoint_id, self._phases.incarnation(endpoint_id))
+        self._announced_leaving = frozenset(leaving)
         self._publish_phases()
-        self._listed(self._board)
+        self._on_listed(self._board)
 
     def _endpoint(self, vm: Vm) -> Endpoint | None:
         kind = self._configuration.endpoint_kinds_by_name.get(vm.kind)
@@ -169,20 +183,26 @@
         )
 
     def ask_only(self, endpoint_ids: frozenset[str]) -> None:
-        """Set whose load this daemon asks for; stewards tell the others."""
-        self._own_to_ask = endpoint_ids
+        """Replace the endpoints whose load this daemon requests.
+
+        The stewards of the other endpoints send the loads of those.
+        """
+        self._polled_ids = endpoint_ids
 
     def refresh_loads(self) -> None:
-        """Ask the endpoints that are ours to ask; answers come as `record_load`."""
+        """Request the loads set by `ask_only`; answers arrive at `record_load`."""
         for endpoint in self._board.endpoints_by_id.values():
             endpoint_id = endpoint.endpoint_id
-            if endpoint_id in self._polling or endpoint_id not in self._own_to_ask:
+            if endpoint_id in self._polling or endpoint_id not in self._polled_ids:
                 continue
             self._polling.add(endpoint_id)
             self._pollers.submit(self._poll_load, endpoint, self.actor_ref.proxy())
 
     def _poll_load(self, endpoint: Endpoint, own_proxy: Any) -> None:
-        """Ask one endpoint; runs on a polling thread, so it only tells the actor."""
+        """Request the load of one endpoint and send the answer to the actor.
+
+        Runs on a polling thread, which must not change the actor's state itself.
+        """
         try:
             own_proxy.record_load(fetch_load(endpoint, self._clock))
         except CranberrywickError as error:
@@ -193,19 +213,19 @@
             own_proxy.poll_ended(endpoint.endpoint_id)
 
     def poll_ended(self, endpoint_id: str) -> None:
-        """Allow the next poll of an endpoint."""
+        """Allow the next request to an endpoint."""
         self._polling.discard(endpoint_id)
 
     def record_load(self, load: EndpointLoad) -> None:
-        """Take a report that was asked for, and pass it on to the other daemons."""
-        if self._take_load(load):
-            self._heard(load)
+        """Apply a report that this daemon requested, and publish it to its peers."""
+        if self._apply_load(load):
+            self._on_load(load)
 
     def record_peer_load(self, load: EndpointLoad) -> None:
-        """Take a report that another daemon passed on."""
-        self._take_load(load)
+        """Apply a report that another daemon forwarded."""
+        self._apply_load(load)
 
-    def _take_load(self, load: EndpointLoad) -> bool:
+    def _apply_load(self, load: EndpointLoad) -> bool:
         current = self._phases.record_load(load)
         if current is None or load.endpoint_id not in self._board.endpoints_by_id:
             return False
@@ -214,22 +234,26 @@
         return True
 
     def record_refusal(self, endpoint_id: str, reason: EndpointRefusal) -> None:
-        """Take an endpoint's own word that it is leaving, and pass it on."""
+        """Mark an endpoint as leaving that refused a request for this reason.
+
+        The first such refusal is reported to the other daemons. Refusals for other
+        reasons are ignored.
+        """
         if reason is not EndpointRefusal.LEAVING:
             return
         incarnation = self._phases.incarnation(endpoint_id)
         if self.mark_leaving(endpoint_id, incarnation):
-            self._left(endpoint_id, incarnation)
+            self._on_leaving(endpoint_id, incarnation)
 
     def mark_leaving(self, endpoint_id: str, incarnation: int) -> bool:
-        """Note that an endpoint is leaving; return whether that is news."""
-        is_news = self._phases.mark_leaving(endpoint_id, incarnation)
-        if is_news:
+        """Record that an endpoint is leaving; return False if that was known."""
+        is_new = self._phases.mark_leaving(endpoint_id, incarnation)
+        if is_new:
             self._log.info("endpoint_leaving", endpoint=endpoint_id)
-            self._tell(endpoint_id)
-        return is_news
+            self._report_current(endpoint_id)
+        return is_new
 
-    def _tell(self, endpoint_id: str) -> None:
+    def _report_current(self, endpoint_id: str) -> None:
         current = self._phases.current(endpoint_id)
         if current is not None:
             self._dispatcher.report_load(current)
@@ -237,8 +261,8 @@
 
     def _publish_phase(self, current: EndpointLoad) -> None:
         if current.endpoint_id in self._board.loads_by_id:
-            # One entry is replaced in place, which readers see whole or not at all;
-            # making all 620 anew for every report took 0.3% of a core.
+            # The entry is replaced in place, so that a reader sees either the old or
+            # the new one. Copying all 620 entries for every report took 0.3% of a core.
             self._board.loads_by_id[current.endpoint_id] = current
         else:
             self._publish_phases()
--- a/cranberrywick/controllers/fleet_versions.py
+++ b/cranberrywick/controllers/fleet_versions.py
@@ -1,4 +1,4 @@
-"""Ask every daemon which version of the configuration it has in force."""
+"""Asks every daemon which version of the configuration it has in force."""
 
 import json
 from collections.abc import Iterable
@@ -11,20 +11,22 @@
 
 __all__ = ["fetch_versions"]
 
-# Only an operator's command asks, so a few threads for some seconds are enough:
-# 320 daemons that answer within a round trip take well under a second.
+# Number of parallel requests. Only an operator's command makes them, so that a few
+# threads for a few seconds are enough: 320 daemons that answer within a round trip
+# take well under a second.
 THREADS = 16
+# Time limit for each request, in seconds.
 TIMEOUT_SECONDS = 1.0
 
-# What is shown for a daemon that does not answer, or has no configuration.
+# Version reported for a daemon that does not answer or has no configuration.
 NO_VERSION = 0
 
 
 def fetch_versions(members: Iterable[Member]) -> dict[str, int]:
-    """Return the version in force by daemon, 0 where there is no answer.
+    """Return the version in force by daemon id; 0 for a daemon that does not answer.
 
-    Each daemon is asked itself: what a third one has heard would be older than the
-    answer that the operator waits for.
+    Each daemon is asked itself, because the version that another daemon has last
+    received from it may be out of date.
     """
     members = list(members)
     with ThreadPoolExecutor(THREADS, "versions") as threads:
