--- a/cranberrywick/controllers/grants.py
+++ b/cranberrywick/controllers/grants.py
@@ -1,8 +1,8 @@
-"""Asks stewards for slots, and hands out those of the endpoints stewarded here.
+"""Demands slots from stewards, and grants those of the endpoints stewarded here.
 
-One actor does both sides. It sends through the peers' node, reads the members from
-its snapshots, and tells the rest of the daemon of new shares by a callback; a
-request never waits for it.
+One actor is both holder and steward. It sends through the peer node, receives the
+members from its snapshots, and publishes new shares to the rest of the daemon through
+a callback; a request never waits for it.
 """
 
 import time
@@ -20,40 +20,45 @@
 
 __all__ = ["Authority", "GrantEvents", "GrantsController", "NoAuthority", "Outbox"]
 
-# A demand to a steward also renews what would fall due within this time, so that
-# endpoints of one steward stay in one message.
+# A demand to a steward also renews the leases that fall due within this time, in
+# seconds, so that the endpoints of one steward stay in one message.
 BATCH_SECONDS = 1.5
-# Shares are told again this often though nothing was asked, for some have expired.
+# Longest interval between two publications of the shares, in seconds. Without any
+# message, too, some leases have expired by then.
 PUBLISH_SECONDS = 1.0
-# A holder over its share is asked to give back at most this often.
+# Shortest interval between two requests to a holder to give back the slots of an
+# endpoint that exceed its share, in seconds.
 CUT_SECONDS = 0.5
 
 
 class Outbox(Protocol):
-    """Where messages to other daemons go; it may lose them, and never waits."""
+    """Sends messages to other daemons; may lose them, and never waits."""
 
     def send_demand(self, daemon_id: str, demand: Demand) -> None:
-        """Send to a steward."""
+        """Send a demand to a steward."""
 
     def send_grant(self, daemon_id: str, grant: Grant) -> None:
-        """Send to a holder."""
+        """Send a grant to a holder."""
 
 
 class Authority(Protocol):
-    """The platform's word that this daemon alone is steward of a shard."""
+    """Holds the platform's lease that makes this daemon the only steward of shards."""
 
     def set_wanted(self, shards: frozenset[Shard]) -> None:
-        """Replace the shards to hold; they are taken and kept in the background."""
+        """Replace the shards to hold; they are acquired in the background."""
 
     def held_until(self, shard: Shard) -> float | None:
-        """Return until when the shard is held, None if it is not; never waits."""
+        """Return until when the shard is held, None if it isn't; never waits."""
 
 
 class NoAuthority:
-    """Without a platform there is none, and cold endpoints get nothing."""
+    """The authority of a daemon without a platform, which never holds a shard.
+
+    No slots of cold endpoints are granted under it.
+    """
 
     def set_wanted(self, shards: frozenset[Shard]) -> None:
-        """Ignore the wish."""
+        """Do nothing."""
 
     def held_until(self, shard: Shard) -> float | None:
         """Return None."""
@@ -69,7 +74,10 @@
 
 
 class GrantsController(Controller):
-    """Keeps this daemon's leases and the ledgers of its endpoints."""
+    """Keeps this daemon's leases, and the ledgers of the endpoints stewarded here.
+
+    ``usage`` returns what this daemon does with each endpoint now, by endpoint id.
+    """
 
     def __init__(
         self,
@@ -97,14 +105,14 @@
         self._usage_by_id: Mapping[str, Usage] = {}
         self._round = 0
         self._cut_at_by_holder: dict[tuple[str, str], float] = {}
-        self._is_stale = True
-        self._is_dirty = True
+        self._stewards_are_stale = True
+        self._shares_are_stale = True
         self._published_at = float("-inf")
 
     def set_endpoints(self, endpoints_by_id: Mapping[str, Endpoint]) -> None:
         """Replace the endpoints of the fleet."""
         if endpoints_by_id == self._endpoints_by_id:
-            # The VM list comes every few seconds and seldom changes.
+            # The VM list is read every few seconds and seldom changes.
             return
         self._endpoints_by_id = dict(endpoints_by_id)
         self._shard_by_endpoint = {
@@ -117,25 +125,28 @@
             for endpoint_id, endpoint in endpoints_by_id.items()
             if self._shard_by_endpoint[endpoint_id] in used
         )
-        self._is_stale = True
+        self._stewards_are_stale = True
 
     def set_members(self, serving_by_id: Mapping[str, Member]) -> None:
-        """Replace the members that take work."""
+        """Replace the members that accept work."""
         self._members_by_id = serving_by_id
-        self._is_stale = True
+        self._stewards_are_stale = True
 
     def tick(self) -> None:
-        """Ask for what is due and tell of changes; called by the timer service."""
+        """Send the demands that are due and publish changed shares.
+
+        The timer service calls it.
+        """
         now = self._clock()
-        if self._is_stale:
-            # Once a tick at most: members change in bursts.
-            self._is_stale = False
+        if self._stewards_are_stale:
+            # Done at most once per tick, because members change in bursts.
+            self._stewards_are_stale = False
             self._assign_stewards(now)
         self._keep_authority(now)
         self._usage_by_id = self._usage()
         for steward, endpoint_ids in self._due_by_steward(now).items():
-            self._ask(steward, endpoint_ids, now)
-        if self._is_dirty or now - self._published_at >= PUBLISH_SECONDS:
+            self._send_demand(steward, endpoint_ids, now)
+        if self._shares_are_stale or now - self._published_at >= PUBLISH_SECONDS:
             self._publish(now)
 
     def _assign_stewards(self, now: float) -> None:
@@ -190,7 +201,9 @@
     def _usage_of(self, endpoint_id: str) -> Usage:
         return self._usage_by_id.get(endpoint_id, Usage())
 
-    def _ask(self, steward: str, endpoint_ids: Iterable[str], now: float) -> None:
+    def _send_demand(
+        self, steward: str, endpoint_ids: Iterable[str], now: float
+    ) -> None:
         self._round += 1
         entries = tuple(
             self._leases.ask(
@@ -201,12 +214,12 @@
         demand = Demand(self._round, entries)
         if steward == self._id:
             for grant in self._answer(self._id, demand, now):
-                self._take_grant(self._id, grant)
+                self._apply_grant(self._id, grant)
         else:
             self._outbox.send_demand(steward, demand)
 
-    def demanded(self, envelope: Envelope) -> None:
-        """Answer a daemon's demand."""
+    def receive_demand(self, envelope: Envelope) -> None:
+        """Answer a demand that another daemon sent to this one as the steward."""
         holder = f"{envelope.sender}/{envelope.incarnation}"
         for grant in self._answer(holder, envelope.body, self._clock()):
             self._outbox.send_grant(envelope.sender, grant)
@@ -232,7 +245,7 @@
         granted = ledger.demand(holder, round, entry, now, until)
         if ledger.limit < limit or ledger.is_short(now):
             self._cut(entry.endpoint_id, ledger, now)
-        load = self._aged(ledger.load, now)
+        load = self._with_age(ledger.load, now)
         if granted is None:
             return 0.0, GrantEntry(entry.endpoint_id, 0, False, load)
         return granted.lifetime, GrantEntry(
@@ -240,15 +253,18 @@
         )
 
     @staticmethod
-    def _aged(load: EndpointLoad | None, now: float) -> EndpointLoad | None:
-        """Return the report with its age in place of the time on our clock."""
+    def _with_age(load: EndpointLoad | None, now: float) -> EndpointLoad | None:
+        """Return the report with its age in place of the time on this clock."""
         if load is None:
             return None
         return load._replace(reported_at=max(0.0, now - load.reported_at))
 
     def _cut(self, endpoint_id: str, ledger: Ledger, now: float) -> None:
-        # What is given back shows in the holders' next demands; until then it
-        # counts as leased, so a lost cut costs time and nothing else.
+        """Ask holders that have more than their share to give the excess back.
+
+        Slots count as leased until the holder's next demand shows that they were given
+        back, so that the loss of this message causes nothing but a delay.
+        """
         for holder, slots in ledger.over_share(now).items():
             if now - self._cut_at_by_holder.get((endpoint_id, holder), 0) < CUT_SECONDS:
                 continue
@@ -260,16 +276,16 @@
             else:
                 self._outbox.send_grant(daemon_id, grant)
 
-    def granted(self, envelope: Envelope) -> None:
-        """Take a steward's answer, or its wish to have slots back."""
-        self._take_grant(envelope.sender, envelope.body)
+    def receive_grant(self, envelope: Envelope) -> None:
+        """Apply a steward's answer to a demand, or its request to give slots back."""
+        self._apply_grant(envelope.sender, envelope.body)
 
-    def _take_grant(self, steward: str, grant: Grant) -> None:
+    def _apply_grant(self, steward: str, grant: Grant) -> None:
         now = self._clock()
-        self._is_dirty = True
+        self._shares_are_stale = True
         for entry in grant.entries:
             if entry.load is not None:
-                self._take_load(entry.load, now)
+                self._apply_load(entry.load, now)
             if grant.round == 0:
                 self._leases.cut(entry.endpoint_id, entry.slots)
             elif entry.is_steward:
@@ -277,13 +293,13 @@
                     entry.endpoint_id, steward, grant.round, entry.slots, grant.lifetime
                 )
 
-    def _take_load(self, load: EndpointLoad, now: float) -> None:
+    def _apply_load(self, load: EndpointLoad, now: float) -> None:
         load = load._replace(reported_at=now - load.reported_at)
         self._leases.record_load(load)
         self._events.load_received(load)
 
     def report_load(self, load: EndpointLoad) -> None:
-        """Take a report of an endpoint that this daemon is steward of."""
+        """Record the load of an endpoint that this daemon is steward of."""
         ledger = self._ledgers_by_id.get(load.endpoint_id)
         if ledger is None:
             return
@@ -294,12 +310,12 @@
             self._cut(load.endpoint_id, ledger, now)
 
     def record_trouble(self, endpoint_id: str, trouble: Trouble) -> None:
-        """Stop using an endpoint that seems cold, and tell its steward."""
+        """Stop using an endpoint that seems cold, and report this to its steward."""
         self._leases.record_trouble(endpoint_id, trouble, self._clock())
-        self._is_dirty = True
+        self._shares_are_stale = True
 
     def _publish(self, now: float) -> None:
-        self._is_dirty = False
+        self._shares_are_stale = False
         self._published_at = now
         daemon_ids = list(self._members_by_id)
         shares = {}
--- a/cranberrywick/peers/node.py
+++ b/cranberrywick/peers/node.py
@@ -282,9 +282,9 @@
                 MembershipController.introduced, envelope, opened.newest_known
             )
         elif isinstance(envelope.body, Demand):
-            self._grants.tell(GrantsController.demanded, envelope)
+            self._grants.tell(GrantsController.receive_demand, envelope)
         elif isinstance(envelope.body, Grant):
-            self._grants.tell(GrantsController.granted, envelope)
+            self._grants.tell(GrantsController.receive_grant, envelope)
         else:
             self._membership.tell(MembershipController.received, envelope)
 
