--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -1,7 +1,8 @@
-"""Keeps the list of live daemons and passes news between them.
+"""Keeps the list of live daemons and disseminates updates between them.
 
-The actor owns the decision object; others read `MembershipView.snapshot`, which is
-replaced as a whole and never changed, so that no request waits for the actor.
+The actor owns the `Membership` object, which makes the decisions. Other threads read
+`MembershipView.snapshot`, which is replaced as a whole and never changed, so that no
+request waits for the actor.
 """
 
 import random
@@ -31,29 +32,37 @@
 from cranberrywick.peers.session import Session
 from cranberrywick.peers.transport import Transport
 
-__all__ = ["ConfigurationMark", "MembershipController", "MembershipView", "Snapshot"]
+__all__ = ["ConfigurationId", "MembershipController", "MembershipView", "Snapshot"]
 
+# Number of ticks between two probes of a member.
 TICKS_PER_PROBE = 4
-# Seeds that are listed but not known alive are greeted this often, one at a time:
-# that is how both sides of a healed partition meet again.
+# Number of ticks between two hellos to seeds that are not known to be alive, one seed
+# at a time. Through these hellos the two sides of a healed partition find each other.
 TICKS_PER_SEED = 4
-# A new list is tried at once, at several, as some may be of VMs that are gone.
-FIRST_GREETINGS = 3
-NEWS_IN_PING = 8
-LEAVING_IN_PING = 8
-# Urgent news goes to so many at once: all of a small fleet, and in a large one
-# enough that their news reaches the rest within a few seconds.
+# Number of hellos sent at once after a new list of seeds; several, because some of
+# the listed VMs may be gone.
+FIRST_HELLOS = 3
+# Most members' records, and most leaving endpoints, in one ping.
+MEMBERS_PER_PING = 8
+LEAVING_PER_PING = 8
+# Number of members that receive an urgent update at once: all of a small fleet, and
+# enough of a large one that their pings reach the rest within a few seconds.
 NOTICE_FANOUT = 16
+# Number of pings and notices in which a leaving endpoint is repeated.
 LEAVING_REPEATS = 20
+# Most leaving endpoints, and most relayed probes without an answer, that are
+# remembered; the oldest are forgotten first.
 MAX_LEAVING_KEPT = 2048
 MAX_RELAYED_KEPT = 256
-# Rounds of probes made for others, apart from those of our own probes.
+# First round number of the probes that are sent for other members, above the numbers
+# of this daemon's own probes.
 FIRST_RELAY_ROUND = 1 << 32
+# Most hellos that are sent per tick in answer to unverified messages.
 HELLOS_PER_TICK = 20
 
 
-class ConfigurationMark(NamedTuple):
-    """Names a configuration; version 0 is none yet."""
+class ConfigurationId(NamedTuple):
+    """Identifies a configuration; version 0 stands for none yet."""
 
     version: int
     digest: bytes
@@ -62,7 +71,7 @@
 class Snapshot(NamedTuple):
     """The members at one moment, this daemon included.
 
-    ``serving_by_id`` leaves out those that are leaving or dead.
+    ``serving_by_id`` omits the members that are leaving or dead.
     """
 
     members_by_id: Mapping[str, Member]
@@ -70,7 +79,7 @@
 
 
 class MembershipView:
-    """What other threads may read without asking the actor."""
+    """Holds what other threads may read without a call of the actor."""
 
     def __init__(self, snapshot: Snapshot):
         self.snapshot = snapshot
@@ -80,13 +89,13 @@
     """Callbacks of the controller; each is short and never waits."""
 
     changed: Callable[[Snapshot], None]
-    met: Callable[[Member], None]
-    newer_configuration: Callable[[Member, ConfigurationMark], None]
+    member_joined: Callable[[Member], None]
+    newer_configuration: Callable[[Member, ConfigurationId], None]
     endpoint_leaving: Callable[[LeavingEndpoint], None]
 
 
 class MembershipController(Controller):
-    """Sends probes and news, and takes those of others."""
+    """Sends probes and updates to other members, and handles theirs."""
 
     def __init__(
         self,
@@ -107,10 +116,10 @@
         self._view = view
         self._events = events
         self._log = EventLog(daemon=myself.daemon_id, part="membership")
-        self._mark = ConfigurationMark(0, b"")
+        self._configuration_id = ConfigurationId(0, b"")
         self._seeds: list[str] = []
         self._relay_rounds = count(FIRST_RELAY_ROUND)
-        self._relayed: dict[int, tuple[str, int]] = {}
+        self._requests_by_relay_round: dict[int, tuple[str, int]] = {}
         self._leaving_by_id: dict[str, int] = {}
         self._leaving_repeats_by_id: dict[str, int] = {}
         self._ticks = 0
@@ -119,61 +128,61 @@
         self._publish()
 
     def set_seeds(self, addresses: list[str]) -> None:
-        """Replace the peer addresses that the VM list gives."""
+        """Replace the peer addresses that the VM list contains."""
         own = self._membership.myself.peer_address
         self._seeds = [address for address in addresses if address != own]
-        for _ in range(FIRST_GREETINGS):
-            self._greet_a_seed()
+        for _ in range(FIRST_HELLOS):
+            self._send_hello_to_seed()
 
-    def set_mark(self, mark: ConfigurationMark) -> None:
-        """Tell peers of the configuration now in force here."""
-        if mark.version <= self._mark.version:
+    def set_configuration_id(self, configuration_id: ConfigurationId) -> None:
+        """Announce the configuration now in force here to the peers."""
+        if configuration_id.version <= self._configuration_id.version:
             return
-        self._mark = mark
+        self._configuration_id = configuration_id
         self._send_notices()
 
     def announce_leaving(self, leaving: LeavingEndpoint) -> None:
-        """Pass on that an endpoint takes no new work."""
+        """Publish that an endpoint accepts no new work."""
         if self._mark_leaving(leaving):
             self._send_notices()
 
     def leave(self) -> None:
-        """Tell all that this daemon is going."""
+        """Publish that this daemon is leaving."""
         self._membership.leave()
         self._publish()
         self._send_notices()
 
     def tick(self) -> None:
-        """Send what is due; called by the timer service."""
+        """Send the probes and hellos that are due; called by the timer service."""
         now = self._clock()
         self._ticks += 1
         self._hellos_left = HELLOS_PER_TICK
         changes = self._membership.changes
         for action in self._membership.tick(now):
-            self._act(action)
+            self._send_probe(action)
         if self._membership.changes != changes:
             self._send_notices()
         if self._ticks % TICKS_PER_PROBE == 0:
             self._probe(self._membership.next_probe(now))
         if self._ticks % TICKS_PER_SEED == 0:
-            self._greet_a_seed()
+            self._send_hello_to_seed()
         self._publish()
 
     def _probe(self, probe: Probe | None) -> None:
         if probe is not None:
             self._send_ping(probe.daemon_id, Ping, probe.round)
 
-    def _act(self, action: Probe | ProbeThrough) -> None:
+    def _send_probe(self, action: Probe | ProbeThrough) -> None:
         if isinstance(action, Probe):
             self._probe(action)
         else:
             self._send(action.relay, PingRequest(action.round, action.daemon_id))
 
-    def _greet_a_seed(self) -> None:
+    def _send_hello_to_seed(self) -> None:
         known = {member.peer_address for member in self._membership.others}
-        strangers = [address for address in self._seeds if address not in known]
-        if strangers:
-            self._send_hello(self._rng.choice(strangers), "", 0)
+        unknown = [address for address in self._seeds if address not in known]
+        if unknown:
+            self._send_hello(self._rng.choice(unknown), "", 0)
 
     def _send_hello(
         self, address: str, recipient: str, incarnation: int, newest_known: int = 0
@@ -182,14 +191,14 @@
         self._transport.send(address, self._session.seal(recipient, incarnation, hello))
 
     def _send_ping(self, daemon_id: str, kind: type[Ping], round: int) -> None:
-        self._send(daemon_id, self._ping(daemon_id, kind, round))
+        self._send(daemon_id, self._make_ping(daemon_id, kind, round))
 
-    def _ping(self, daemon_id: str, kind: type[Ping], round: int) -> Ping:
+    def _make_ping(self, daemon_id: str, kind: type[Ping], round: int) -> Ping:
         return kind(
             round=round,
-            version=self._mark.version,
-            digest=self._mark.digest,
-            members=tuple(self._membership.updates_for(daemon_id, NEWS_IN_PING)),
+            version=self._configuration_id.version,
+            digest=self._configuration_id.digest,
+            members=tuple(self._membership.updates_for(daemon_id, MEMBERS_PER_PING)),
             leaving=self._leaving_updates(),
         )
 
@@ -205,10 +214,11 @@
         for member in self._rng.sample(others, min(NOTICE_FANOUT, len(others))):
             self._send_ping(member.daemon_id, Notice, 0)
 
-    def introduced(self, envelope: Envelope, newest_known: int) -> None:
-        """Answer an unverified message with who we are, within bounds."""
-        # A recorded message can be sent here at will: the answers are few, go to
-        # the address that its sender signed or that we know, and change nothing.
+    def receive_unverified(self, envelope: Envelope, newest_known: int) -> None:
+        """Answer an unverified message with a hello, within limits."""
+        # Anyone on the network can send a recorded message again. So the number of
+        # answers is limited, they go only to the address that the original sender
+        # signed or that is known already, and the message changes no state.
         if self._hellos_left <= 0:
             return
         self._hellos_left -= 1
@@ -228,80 +238,84 @@
     def _is_answer(envelope: Envelope) -> bool:
         return isinstance(envelope.body, Hello) and envelope.body.is_answer
 
-    def received(self, envelope: Envelope) -> None:
-        """Act on a verified message."""
+    def receive(self, envelope: Envelope) -> None:
+        """Handle a verified message."""
         now = self._clock()
         self._membership.heard(envelope.sender)
         body = envelope.body
         if isinstance(body, Hello):
-            self._take_hello(envelope, body, now)
+            self._handle_hello(envelope, body, now)
         elif isinstance(body, RelayedAck):
             self._membership.answered(body.round, body.target)
         elif isinstance(body, PingRequest):
             self._relay_probe(envelope, body)
         elif isinstance(body, Ping):
-            self._take_ping(envelope, body, now)
-        self._meet_again(envelope.sender)
-        # News of an earlier run of this daemon may have raised it.
+            self._handle_ping(envelope, body, now)
+        self._notify_if_dead(envelope.sender)
+        # An update about an earlier run of this daemon may have raised it.
         self._session.incarnation = self._membership.myself.incarnation
         self._publish()
 
-    def _meet_again(self, sender: str) -> None:
-        # After a partition each side holds the other dead and probes it no more.
-        # Told of its own death, the member outranks it and is back.
+    def _notify_if_dead(self, sender: str) -> None:
+        # After a partition each side has recorded the other as dead and no longer
+        # probes it. A member that receives the record of its own death refutes it with
+        # a newer record and is alive again.
         member = self._membership.members_by_id.get(sender)
         if member is not None and member.status is Status.DEAD:
             self._send_ping(sender, Notice, 0)
 
-    def _take_hello(self, envelope: Envelope, hello: Hello, now: float) -> None:
+    def _handle_hello(self, envelope: Envelope, hello: Hello, now: float) -> None:
         if hello.newest_known > self._session.incarnation:
             self._membership.raise_incarnation(hello.newest_known)
             self._log.warning("incarnation_raised", by=envelope.sender)
             return
         if self._membership.apply_update(hello.member, now):
-            # It may not know us yet; our record goes back once, now verified.
+            # The sender may not know this daemon yet. It now receives this daemon's
+            # record once, in a hello that it can verify.
             self._send_hello(
                 hello.member.peer_address, envelope.sender, envelope.incarnation
             )
-            self._events.met(hello.member)
+            self._events.member_joined(hello.member)
             self._send_notices()
 
     def _relay_probe(self, envelope: Envelope, request: PingRequest) -> None:
-        probe = next(self._relay_rounds)
-        self._relayed[probe] = (envelope.sender, request.round)
-        while len(self._relayed) > MAX_RELAYED_KEPT:
-            del self._relayed[next(iter(self._relayed))]
-        self._send_ping(request.target, Ping, probe)
+        relay_round = next(self._relay_rounds)
+        self._requests_by_relay_round[relay_round] = (envelope.sender, request.round)
+        while len(self._requests_by_relay_round) > MAX_RELAYED_KEPT:
+            del self._requests_by_relay_round[next(iter(self._requests_by_relay_round))]
+        self._send_ping(request.target, Ping, relay_round)
 
-    def _take_ping(self, envelope: Envelope, ping: Ping, now: float) -> None:
+    def _handle_ping(self, envelope: Envelope, ping: Ping, now: float) -> None:
         revision = self._membership.myself.revision
         for member in ping.members:
             self._membership.apply_update(member, now)
         is_refuting = self._membership.myself.revision != revision
-        fresh = [leaving for leaving in ping.leaving if self._mark_leaving(leaving)]
+        new_leaving = [
+            leaving for leaving in ping.leaving if self._mark_leaving(leaving)
+        ]
         if isinstance(ping, Ack):
-            self._take_ack(envelope.sender, ping.round)
+            self._handle_ack(envelope.sender, ping.round)
         elif not isinstance(ping, Notice):
             self._send_ping(envelope.sender, Ack, ping.round)
-        self._compare_mark(envelope.sender, ping)
+        self._compare_configuration(envelope.sender, ping)
         if is_refuting:
             self._send_ping(envelope.sender, Notice, 0)
-        if fresh or is_refuting:
+        if new_leaving or is_refuting:
             self._send_notices()
 
-    def _take_ack(self, sender: str, round: int) -> None:
+    def _handle_ack(self, sender: str, round: int) -> None:
         self._membership.answered(round, sender)
-        asked_by = self._relayed.pop(round, None)
-        if asked_by is not None:
-            asker, asked_round = asked_by
-            self._send(asker, RelayedAck(asked_round, sender))
+        request = self._requests_by_relay_round.pop(round, None)
+        if request is not None:
+            asker, requested_round = request
+            self._send(asker, RelayedAck(requested_round, sender))
 
-    def _compare_mark(self, sender: str, ping: Ping) -> None:
+    def _compare_configuration(self, sender: str, ping: Ping) -> None:
         member = self._membership.members_by_id.get(sender)
-        if member is None or ping.version <= self._mark.version:
+        if member is None or ping.version <= self._configuration_id.version:
             return
-        mark = ConfigurationMark(ping.version, ping.digest)
-        self._events.newer_configuration(member, mark)
+        configuration_id = ConfigurationId(ping.version, ping.digest)
+        self._events.newer_configuration(member, configuration_id)
 
     def _mark_leaving(self, leaving: LeavingEndpoint) -> bool:
         known = self._leaving_by_id.get(leaving.endpoint_id, -1)
@@ -316,7 +330,7 @@
 
     def _leaving_updates(self) -> tuple[LeavingEndpoint, ...]:
         updates = []
-        for endpoint_id in list(self._leaving_repeats_by_id)[:LEAVING_IN_PING]:
+        for endpoint_id in list(self._leaving_repeats_by_id)[:LEAVING_PER_PING]:
             updates.append(
                 LeavingEndpoint(endpoint_id, self._leaving_by_id.get(endpoint_id, 0))
             )
@@ -326,7 +340,7 @@
         return tuple(updates)
 
     def merge_members(self, members: tuple[Member, ...]) -> None:
-        """Take the whole list of a peer."""
+        """Merge the whole member list of a peer into this daemon's."""
         self._membership.merge_members(members, self._clock())
         self._publish()
 
--- a/cranberrywick/peers/node.py
+++ b/cranberrywick/peers/node.py
@@ -27,7 +27,7 @@
     NoAuthority,
 )
 from cranberrywick.controllers.membership import (
-    ConfigurationMark,
+    ConfigurationId,
     MembershipController,
     MembershipEvents,
     MembershipView,
@@ -51,7 +51,7 @@
     LeavingEndpoint,
 )
 from cranberrywick.peers.outbox import Outbox
-from cranberrywick.peers.session import Introduction, Session
+from cranberrywick.peers.session import Session, Unverified
 from cranberrywick.peers.sharing import SharedConfiguration
 from cranberrywick.peers.transport import Transport
 from cranberrywick.timers import TimerService
@@ -161,7 +161,7 @@
             self._view,
             MembershipEvents(
                 changed=self._membership_changed,
-                met=self._fetch_list_of,
+                member_joined=self._fetch_list_of,
                 newer_configuration=self._fetch_configuration,
                 endpoint_leaving=partial(call_all, self._leaving_callbacks),
             ),
@@ -254,9 +254,11 @@
 
         Raises ValueError for a document above 1 MiB.
         """
-        mark = self._shared.put(version, document)
-        if mark is not None:
-            self._membership.tell(MembershipController.set_mark, mark)
+        configuration_id = self._shared.put(version, document)
+        if configuration_id is not None:
+            self._membership.tell(
+                MembershipController.set_configuration_id, configuration_id
+            )
 
     def _tick_membership(self) -> None:
         self._membership.tell(MembershipController.tick)
@@ -277,16 +279,16 @@
         if self._is_behind():
             return
         envelope = opened.envelope
-        if isinstance(opened, Introduction):
+        if isinstance(opened, Unverified):
             self._membership.tell(
-                MembershipController.introduced, envelope, opened.newest_known
+                MembershipController.receive_unverified, envelope, opened.newest_known
             )
         elif isinstance(envelope.body, Demand):
             self._grants.tell(GrantsController.receive_demand, envelope)
         elif isinstance(envelope.body, Grant):
             self._grants.tell(GrantsController.receive_grant, envelope)
         else:
-            self._membership.tell(MembershipController.received, envelope)
+            self._membership.tell(MembershipController.receive, envelope)
 
     def _is_behind(self) -> bool:
         return max(self._membership.waiting, self._grants.waiting) > MAX_INBOX
@@ -311,9 +313,9 @@
             self._record_invalid(error)
             return None
         envelope = opened.envelope
-        if isinstance(opened, Introduction):
+        if isinstance(opened, Unverified):
             self._membership.tell(
-                MembershipController.introduced, envelope, opened.newest_known
+                MembershipController.receive_unverified, envelope, opened.newest_known
             )
             return None
         if not isinstance(envelope.body, Fetch):
@@ -342,10 +344,12 @@
     def _merge_members(self, answer: Answer) -> None:
         self._membership.tell(MembershipController.merge_members, answer.members)
 
-    def _fetch_configuration(self, member: Member, mark: ConfigurationMark) -> None:
+    def _fetch_configuration(
+        self, member: Member, configuration_id: ConfigurationId
+    ) -> None:
         use = partial(call_all, self._configuration_callbacks)
         self._fetcher.start(
             member,
             FetchKind.CONFIGURATION,
-            lambda answer: self._shared.take(mark, answer, use),
+            lambda answer: self._shared.take(configuration_id, answer, use),
         )
--- a/cranberrywick/peers/session.py
+++ b/cranberrywick/peers/session.py
@@ -9,7 +9,7 @@
 from cranberrywick.peers.messages import Body, Envelope, Hello
 from cranberrywick.peers.replay import ReplayGuard
 
-__all__ = ["Introduction", "Opened", "Session", "Verified"]
+__all__ = ["Unverified", "Opened", "Session", "Verified"]
 
 
 @dataclass(frozen=True)
@@ -20,14 +20,14 @@
 
 
 @dataclass(frozen=True)
-class Introduction:
+class Unverified:
     """Signed, but maybe recorded earlier: answer with a hello, change nothing."""
 
     envelope: Envelope
     newest_known: int
 
 
-Opened = Verified | Introduction
+Opened = Verified | Unverified
 
 
 class Session:
@@ -68,21 +68,21 @@
         if envelope.sender == self._daemon_id:
             raise PeerMessageInvalid("the message says that this daemon sent it")
         if envelope.recipient != self._daemon_id:
-            return self._introduction(envelope)
+            return self._check_unverified(envelope)
         if envelope.recipient_incarnation != self.incarnation:
-            return self._introduction(envelope)
+            return self._check_unverified(envelope)
         with self._lock:
             known = self._guard.newest_incarnation(envelope.sender)
             if envelope.incarnation < known:
-                return Introduction(envelope, known)
+                return Unverified(envelope, known)
             self._guard.accept(envelope.sender, envelope.incarnation, envelope.sequence)
         return Verified(envelope)
 
-    def _introduction(self, envelope: Envelope) -> Introduction:
+    def _check_unverified(self, envelope: Envelope) -> Unverified:
         if envelope.recipient not in ("", self._daemon_id):
             raise PeerMessageInvalid("the message is for another daemon")
         if envelope.recipient == "" and not isinstance(envelope.body, Hello):
             raise PeerMessageInvalid("the message names no recipient")
         with self._lock:
             known = self._guard.newest_incarnation(envelope.sender)
-        return Introduction(envelope, known)
+        return Unverified(envelope, known)
--- a/cranberrywick/peers/sharing.py
+++ b/cranberrywick/peers/sharing.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from cranberrywick.controllers.membership import ConfigurationMark
+from cranberrywick.controllers.membership import ConfigurationId
 from cranberrywick.errors import PeerMessageInvalid
 from cranberrywick.peers.fetching import MAX_DOCUMENT_BYTES, decompress
 from cranberrywick.peers.messages import Answer
@@ -17,7 +17,7 @@
 
 
 class _Document(NamedTuple):
-    mark: ConfigurationMark
+    configuration_id: ConfigurationId
     compressed: bytes
 
 
@@ -25,7 +25,7 @@
     """The newest document given; safe to use from any thread."""
 
     def __init__(self) -> None:
-        self._document = _Document(ConfigurationMark(0, b""), b"")
+        self._document = _Document(ConfigurationId(0, b""), b"")
         # Guards against two versions given at once; readers take it whole.
         self._lock = threading.Lock()
 
@@ -33,32 +33,32 @@
     def current(self) -> tuple[int, bytes]:
         """The version and document offered; version 0 is none."""
         document = self._document
-        if document.mark.version == 0:
+        if document.configuration_id.version == 0:
             return 0, b""
-        return document.mark.version, zlib.decompress(document.compressed)
+        return document.configuration_id.version, zlib.decompress(document.compressed)
 
-    def put(self, version: int, document: bytes) -> ConfigurationMark | None:
-        """Offer this version and return its mark; None if it is not newer.
+    def put(self, version: int, document: bytes) -> ConfigurationId | None:
+        """Offer this version and return its configuration_id; None if it is not newer.
 
         Raises ValueError for a document above 1 MiB.
         """
         if len(document) > MAX_DOCUMENT_BYTES:
             raise ValueError("the configuration is larger than the platform's values")
-        mark = ConfigurationMark(version, _digest(document))
+        configuration_id = ConfigurationId(version, _digest(document))
         with self._lock:
-            if version <= self._document.mark.version:
+            if version <= self._document.configuration_id.version:
                 return None
-            self._document = _Document(mark, zlib.compress(document))
-        return mark
+            self._document = _Document(configuration_id, zlib.compress(document))
+        return configuration_id
 
     def answer(self, nonce: int) -> Answer:
         """Return the answer to a peer's fetch."""
         document = self._document
-        return Answer(nonce, document.mark.version, document.compressed)
+        return Answer(nonce, document.configuration_id.version, document.compressed)
 
     def take(
         self,
-        announced: ConfigurationMark,
+        announced: ConfigurationId,
         answer: Answer,
         use: Callable[[int, bytes], None],
     ) -> None:
@@ -70,7 +70,7 @@
         is_announced = answer.version == announced.version
         if is_announced and _digest(document) != announced.digest:
             raise PeerMessageInvalid("the document is not the one that was announced")
-        if answer.version > self._document.mark.version:
+        if answer.version > self._document.configuration_id.version:
             use(answer.version, document)
 
 
--- a/tests/test_peers_codec.py
+++ b/tests/test_peers_codec.py
@@ -26,7 +26,7 @@
     PingRequest,
     RelayedAck,
 )
-from cranberrywick.peers.session import Introduction, Session, Verified
+from cranberrywick.peers.session import Session, Unverified, Verified
 
 SECRET = b"the fleet's secret"
 CODEC = Codec(SECRET)
@@ -149,7 +149,7 @@
         restarted = Session("e1", 1701, SECRET)
         self.receiver.open(restarted.seal("e2", 1800, Ack(1)))
         opened = self.receiver.open(self.sender.seal("e2", 1800, Ack(1)))
-        assert opened == Introduction(opened.envelope, 1701)
+        assert opened == Unverified(opened.envelope, 1701)
 
     def test_a_message_recorded_before_a_restart_of_the_receiver_changes_nothing(self):
         """A receiver that restarts has forgotten which messages it saw.
@@ -159,7 +159,7 @@
         """
         recorded = self.sender.seal("e2", 1800, Ack(1))
         restarted = Session("e2", 1801, SECRET)
-        assert isinstance(restarted.open(recorded), Introduction)
+        assert isinstance(restarted.open(recorded), Unverified)
 
     def test_a_message_for_another_or_from_itself_is_refused(self):
         for frame in (
