--- a/cranberrywick/controllers/orders.py
+++ b/cranberrywick/controllers/orders.py
@@ -1,7 +1,7 @@
-"""The controller that has endpoints load the models that operators want.
+"""The controller that orders endpoints to load the models that operators want.
 
-It looks at the endpoints that this daemon is steward of, plans with
-`cranberrywick.decisions.orders` and gives orders with `cranberrywick.endpoints.orders`.
+It reads the state of the endpoints that this daemon is steward of, plans with
+`cranberrywick.decisions.orders` and sends orders with `cranberrywick.endpoints.orders`.
 """
 
 import time
@@ -28,18 +28,19 @@
 
 __all__ = ["OrderController"]
 
-# Engines are moved between models only with so much of the fleet in view; some may
-# be dead and listed yet.
+# Share of the listed engines whose load must be known before engines are moved between
+# models. It is below one because some listed engines may be dead.
 FULL_VIEW_SHARE = 0.9
 
 
 class OrderController(Controller):
-    """Plans and gives orders at each `tick`, on a thread that no request waits on.
+    """Plans and sends orders at each `tick`, on a thread that no request waits for.
 
-    ``configuration`` is what is in force, ``endpoints`` and ``loads`` what is known
-    of the fleet, by endpoint id; ``mine`` says whether this daemon is steward of an
-    endpoint. A tick may take seconds, so one that comes meanwhile should be left
-    out: see `ControllerHandle.waiting`.
+    ``configuration`` returns the configuration in force, if there is one,
+    ``endpoints`` and ``loads`` return the fleet's endpoints and their loads by
+    endpoint id, and ``is_steward_of`` says whether this daemon is the steward of an
+    endpoint. A tick may take seconds; a caller should skip the next one while
+    `ControllerHandle.waiting` isn't zero.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         configuration: Callable[[], Configuration | None],
         endpoints: Callable[[], Mapping[str, Endpoint]],
         loads: Callable[[], Mapping[str, EndpointLoad]],
-        mine: Callable[[str], bool],
+        is_steward_of: Callable[[str], bool],
         clock: Callable[[], float] = time.monotonic,
     ):
         super().__init__()
@@ -56,14 +57,14 @@
         self._configuration = configuration
         self._endpoints = endpoints
         self._loads = loads
-        self._mine = mine
+        self._is_steward_of = is_steward_of
         self._clock = clock
         self._planner = OrderPlanner()
         self._log = EventLog(part="orders")
         self._paused_until = 0.0
 
     def tick(self) -> None:
-        """Give the orders that are due."""
+        """Plan, and send the orders that are due to this daemon's own endpoints."""
         now = self._clock()
         configuration = self._configuration()
         if configuration is None or now < self._paused_until:
@@ -76,10 +77,10 @@
         views = self._view(engines_by_id, configuration)
         wanted = _wanted(configuration, engines_by_id, self._loads())
         limit = busy_limit(len(engines_by_id))
-        may_move = len(views) >= FULL_VIEW_SHARE * len(engines_by_id)
-        for order in self._planner.plan(views, wanted, now, may_move):
-            if self._mine(order.endpoint_id):
-                self._give(engines_by_id[order.endpoint_id], order, limit)
+        may_reassign = len(views) >= FULL_VIEW_SHARE * len(engines_by_id)
+        for order in self._planner.plan(views, wanted, now, may_reassign):
+            if self._is_steward_of(order.endpoint_id):
+                self._send_order(engines_by_id[order.endpoint_id], order, limit)
 
     def _view(
         self, engines_by_id: Mapping[str, Endpoint], configuration: Configuration
@@ -90,17 +91,21 @@
             load = loads_by_id.get(endpoint_id)
             if load is None:
                 continue
-            state = self._look_at(endpoint) if self._mine(endpoint_id) else None
+            state = (
+                self._fetch_state(endpoint)
+                if self._is_steward_of(endpoint_id)
+                else None
+            )
             views.append(_view_of(endpoint, load, state, configuration))
         return views
 
-    def _look_at(self, endpoint: Endpoint) -> EngineState | None:
+    def _fetch_state(self, endpoint: Endpoint) -> EngineState | None:
         try:
             return fetch_engine_state(endpoint)
         except CranberrywickError:
             return None
 
-    def _give(self, endpoint: Endpoint, order: Order, limit: int) -> None:
+    def _send_order(self, endpoint: Endpoint, order: Order, limit: int) -> None:
         if self._clock() < self._paused_until:
             return
         outcome = self._order_sender.give(endpoint, order, limit)
@@ -113,8 +118,8 @@
             outcome=outcome,
         )
         if isinstance(outcome, NotGiven):
-            # The weight store or the platform is at its limit: one refusal is for
-            # all orders, and asking for the next would only add to it.
+            # The weight store or the platform is at its limit. A refusal holds for all
+            # orders, and the next attempt would only add to the load.
             self._paused_until = self._clock() + outcome.retry_after
 
 
@@ -124,23 +129,27 @@
     state: EngineState | None,
     configuration: Configuration,
 ) -> EngineView:
-    """Return the view of an engine; one that others look after needs no order.
+    """Return the planner's view of an engine.
 
-    Its versions are not known here, and are taken to be as wanted.
+    Without ``state`` the engine has another steward, or did not answer. Its versions
+    and adapters are then unknown and assumed to be the wanted ones, so that it gets no
+    order because of them.
     """
     models = configuration.models_by_name
     versions = dict(state.version_by_model) if state else {}
-    held = {
+    version_by_model = {
         name: versions.get(name) or models[name].versions[0]
         for name in load.models
         if name in models
     }
-    adapters = {adapter for name in held for adapter in models[name].adapters}
+    adapters = {
+        adapter for name in version_by_model for adapter in models[name].adapters
+    }
     return EngineView(
         endpoint.endpoint_id,
         endpoint.failure_domain,
         load.phase,
-        held,
+        version_by_model,
         state.adapters if state else frozenset(adapters),
         endpoint.models,
         state.role if state else None,
@@ -152,7 +161,7 @@
     engines_by_id: Mapping[str, Endpoint],
     loads_by_id: Mapping[str, EndpointLoad],
 ) -> list[ModelDemand]:
-    """Return the operators' models with how much their engines are used."""
+    """Return the operators' models with the utilisation of their engines' slots."""
     wanted = []
     for name, model in configuration.models_by_name.items():
         holders = [
--- a/cranberrywick/controllers/sweep.py
+++ b/cranberrywick/controllers/sweep.py
@@ -1,4 +1,4 @@
-"""The controller that gives engines back the memory that nobody owns any more."""
+"""The controller that releases engines' memory whose owner no longer exists."""
 
 import time
 from collections.abc import Callable, Container, Iterable, Mapping
@@ -13,21 +13,22 @@
 
 __all__ = ["SWEEP_SECONDS", "SweepController", "owner_state"]
 
-# An engine is asked three lists a sweep by the one daemon that looks after it: at
-# 620 engines and 320 daemons two engines each, under one call a second.
+# Interval between sweeps, in seconds. In each sweep an engine's steward requests three
+# lists from it. At 620 engines and 320 daemons, two engines per daemon, a daemon makes
+# little more than one call per second.
 SWEEP_SECONDS = 5.0
 
 _log = EventLog(part="sweep")
 
 
 class SweepController(Controller):
-    """Compares engines' own lists with the live owners.
+    """Compares the items that engines list with the owners that are alive.
 
-    ``engines`` gives the addresses of the engines that this daemon looks after, by
-    id; ``state_of`` says what is known of an owner; ``cleaned_up`` gives the
-    addresses where this daemon gave something back lately. A release on the
-    request's own path can be lost, and its daemon can die; the engine's list is
-    the one place where every such item still shows.
+    ``engines`` returns the addresses of the engines that this daemon is steward of,
+    by id; ``state_of`` returns what is known of an owner; ``cleanup_addresses``
+    returns the addresses at which this daemon released or cancelled something
+    recently. The release that a request itself sends can be lost, and its daemon can
+    die before it; only the engine's list still contains every such item.
     """
 
     def __init__(
@@ -35,20 +36,20 @@
         engines: Callable[[], Mapping[str, str]],
         state_of: Callable[[Owner], OwnerState],
         clock: Callable[[], float] = time.monotonic,
-        cleaned_up: Callable[[], Iterable[str]] = recent_cleanups,
+        cleanup_addresses: Callable[[], Iterable[str]] = recent_cleanups,
     ):
         super().__init__()
         self._engines = engines
-        self._cleaned_up = cleaned_up
+        self._cleanup_addresses = cleanup_addresses
         self._tracker = OrphanTracker(state_of)
         self._clock = clock
 
     def sweep(self) -> None:
-        """Look at every engine once; the timer service calls it."""
+        """Check the lists of every engine once; called by the timer service."""
         addresses_by_id = dict(self._engines())
-        known = set(addresses_by_id.values())
-        for address in self._cleaned_up():
-            if address not in known:
+        known_addresses = set(addresses_by_id.values())
+        for address in self._cleanup_addresses():
+            if address not in known_addresses:
                 addresses_by_id[address] = address
         for endpoint_id, address in sorted(addresses_by_id.items()):
             self._sweep_engine(endpoint_id, address)
@@ -63,10 +64,10 @@
             self._release(address, orphan)
 
     def _release(self, address: str, orphan: Listed) -> None:
-        # What is not released now is on the engine's next list again.
-        done = release(address, orphan.kind, orphan.item_id)
+        # An item whose release fails is on the engine's list again at the next sweep.
+        is_released = release(address, orphan.kind, orphan.item_id)
         _log.info(
-            "orphan_released" if done else "orphan_not_released",
+            "orphan_released" if is_released else "orphan_not_released",
             endpoint=orphan.endpoint_id,
             kind=orphan.kind.value,
             item=orphan.item_id,
@@ -80,11 +81,11 @@
     live_request_ids: Container[str],
     members_by_id: Mapping[str, Member],
 ) -> OwnerState:
-    """Say what is known of an owner from this daemon's requests and membership.
+    """Return the state of an owner, by this daemon's requests and member list.
 
-    Only this daemon's own requests, and those of a daemon that has started again
-    since, are known to have ended. A daemon that membership holds dead may only be
-    cut off from here while it goes on serving.
+    An owner is known to be gone only if it is a request of this daemon that has
+    ended, or of a daemon that has restarted since. A daemon that is recorded as dead
+    may still be serving behind a partition, so its requests count as silent.
     """
     daemon = myself if owner.daemon_id == myself.daemon_id else None
     daemon = daemon or members_by_id.get(owner.daemon_id)
