--- a/cranberrywick/peers/codec.py
+++ b/cranberrywick/peers/codec.py
@@ -1,7 +1,7 @@
-"""Bytes of the messages between daemons, authenticated by the fleet's secret.
+"""Encodes the messages between daemons, authenticated with the fleet's secret.
 
-A frame is one byte of format, sixteen bytes of HMAC-SHA256 (RFC 2104 allows half of
-the hash) and a packed Cap'n Proto message.
+A frame consists of one byte that gives the format, sixteen bytes of HMAC-SHA256 (RFC
+2104 allows truncation to half of the hash) and a packed Cap'n Proto message.
 
 >>> codec = Codec(b"the fleet's secret")
 >>> codec.decode(codec.encode(envelope)) == envelope
@@ -23,13 +23,16 @@
 FORMAT = b"\x01"
 MAC_BYTES = 16
 HEADER_BYTES = len(FORMAT) + MAC_BYTES
-# Below the usual MTU of 1,500 bytes less IP and UDP headers, so that no datagram
-# is cut into fragments of which each can be lost.
+# Largest frame in a datagram. It is below the usual MTU of 1,500 bytes less the IP and
+# UDP headers, so that a datagram isn't split into fragments, each of which can be lost.
 MAX_DATAGRAM_BYTES = 1400
-# A configuration of at most 1 MiB, or a list of some thousand members.
+# Largest frame over a connection: it holds a configuration of up to 1 MiB or a list of
+# a few thousand members.
 MAX_STREAM_BYTES = 1_500_000
-# Packing shrinks runs of zero bytes, so a small frame can unpack to a large one.
+# Largest unpacked message, in words of eight bytes. Packing compresses runs of zero
+# bytes, so that a small frame can unpack to a very large message.
 MAX_UNPACKED_WORDS = 400_000
+# Deepest nesting of structures in a message.
 MAX_NESTING = 8
 
 
@@ -42,13 +45,13 @@
 
 
 class Codec:
-    """Encodes and checks frames with one secret; safe to use from any thread."""
+    """Encodes and authenticates frames with one secret; safe to use from any thread."""
 
     def __init__(self, secret: bytes):
         self._secret = secret
 
     def encode(self, envelope: Envelope) -> bytes:
-        """Return the frame of this message."""
+        """Return the frame that carries this message."""
         name, fields = write_body(envelope.body)
         message = _SCHEMA.Envelope.new_message(
             sender=envelope.sender,
@@ -62,18 +65,18 @@
         return FORMAT + self._mac(payload) + payload
 
     def decode(self, frame: bytes) -> Envelope:
-        """Return the message of a frame.
+        """Return the message in a frame.
 
-        Raises `PeerMessageInvalid` for whatever is not a whole, authentic message
-        of this format within the limits.
+        Raises `PeerMessageInvalid` if the frame is not a complete, authentic message
+        of this format and within the limits.
         """
         if not HEADER_BYTES < len(frame) <= MAX_STREAM_BYTES:
             raise PeerMessageInvalid("the frame has an impossible size")
         if frame[:1] != FORMAT:
             raise PeerMessageInvalid("the frame has an unknown format")
         payload = frame[HEADER_BYTES:]
-        # Before anything is unpacked: the unpacking of a stranger's bytes is work
-        # and memory given away.
+        # The signature is checked before anything is unpacked, so that a sender
+        # without the secret can't make this daemon spend time and memory on unpacking.
         if not hmac.compare_digest(frame[1:HEADER_BYTES], self._mac(payload)):
             raise PeerMessageInvalid("the frame is not signed with the fleet's secret")
         return _read_payload(payload)
@@ -98,6 +101,6 @@
             body=read_body(message.body),
         )
     except (capnp.KjException, ValueError, IndexError) as error:
-        # Bad UTF-8 and enumeration values are ValueError, a phase out of range is
-        # IndexError, the rest comes from the library.
+        # Invalid UTF-8 and unknown enumeration values raise ValueError, a phase out of
+        # range raises IndexError, and the library raises KjException for the rest.
         raise PeerMessageInvalid(f"malformed message: {error!s:.100}") from error
--- a/cranberrywick/peers/fetching.py
+++ b/cranberrywick/peers/fetching.py
@@ -1,4 +1,4 @@
-"""Gets from a peer, over a connection, what does not fit a datagram."""
+"""Fetches from a peer, over a connection, what does not fit into a datagram."""
 
 import random
 import threading
@@ -15,13 +15,14 @@
 
 __all__ = ["MAX_DOCUMENT_BYTES", "Fetcher", "decompress"]
 
+# Time limit for each step of a fetch (connect, send, receive), in seconds.
 FETCH_SECONDS = 3.0
-# What the platform's values hold.
+# Largest configuration document; the platform's values can't be larger.
 MAX_DOCUMENT_BYTES = 1 << 20
 
 
 class Fetcher:
-    """Runs one fetch after another on a thread of its own."""
+    """Runs fetches one after another on a thread of its own."""
 
     def __init__(
         self, session: Session, transport: Transport, rng: random.Random, log: EventLog
@@ -36,32 +37,37 @@
         self._lock = threading.Lock()
 
     def start(
-        self, member: Member, kind: FetchKind, take: Callable[[Answer], None]
+        self, member: Member, kind: FetchKind, on_answer: Callable[[Answer], None]
     ) -> None:
-        """Ask ``member`` and give its answer to ``take``, unless one is under way."""
-        # Every ping of a peer that is ahead would otherwise start a fetch of the
-        # same megabyte.
+        """Fetch from ``member`` and call ``on_answer`` with its answer.
+
+        Does nothing while another fetch of the same kind is pending, and logs a fetch
+        that fails.
+        """
+        # Without this, every ping of a peer with a newer configuration would start
+        # another fetch of the same document of up to 1 MiB.
         with self._lock:
             if kind in self._pending:
                 return
             self._pending.add(kind)
         try:
-            self._thread.submit(self._run, member, kind, take)
+            self._thread.submit(self._run, member, kind, on_answer)
         except RuntimeError:
             # The node is stopping.
             self._end(kind)
 
     def stop(self) -> None:
-        """Start no more and wait for the one that runs."""
+        """Cancel the pending fetches and wait for the one that runs."""
         self._thread.shutdown(wait=True, cancel_futures=True)
 
     def _run(
-        self, member: Member, kind: FetchKind, take: Callable[[Answer], None]
+        self, member: Member, kind: FetchKind, on_answer: Callable[[Answer], None]
     ) -> None:
         try:
-            take(self._exchange(member, kind))
+            on_answer(self._exchange(member, kind))
         except (OSError, PeerMessageInvalid) as error:
-            # The next ping or list of any peer starts it again.
+            # The next ping with a newer configuration, or the next regular fetch of a
+            # member list, repeats it.
             self._log.info("peer_fetch_failed", what=kind.name.lower(), error=error)
         finally:
             self._end(kind)
@@ -86,8 +92,12 @@
 
 
 def decompress(compressed: bytes) -> bytes:
-    """Return the document. Raises `PeerMessageInvalid` if it is broken or too large."""
-    # Without a bound a few kilobytes could unpack to gigabytes.
+    """Return the decompressed document.
+
+    Raises `PeerMessageInvalid` if it is malformed, truncated or larger than
+    `MAX_DOCUMENT_BYTES`.
+    """
+    # Without the limit, a few kilobytes could expand to gigabytes.
     decompressor = zlib.decompressobj()
     try:
         document = decompressor.decompress(compressed, MAX_DOCUMENT_BYTES)
--- a/cranberrywick/peers/messages.capnp
+++ b/cranberrywick/peers/messages.capnp
@@ -1,12 +1,12 @@
 @0xd3c1f0a2b4e59687;
-# What daemons tell each other.  codec.py turns these into the values of
-# messages.py; a field that is added later must keep the numbers of the others.
+# The messages between daemons.  codec.py encodes and decodes the types of messages.py
+# by this schema; fields that are added later must leave the numbers of the others.
 
 struct Envelope {
   sender @0 :Text;
-  incarnation @1 :UInt64;            # wall-clock milliseconds at the sender's start
-  recipient @2 :Text;                # empty while the sender does not know it
-  recipientIncarnation @3 :UInt64;   # ties the message to one run of the recipient
+  incarnation @1 :UInt64;            # Unix time of the sender's start, in milliseconds
+  recipient @2 :Text;                # empty while the sender does not know its id
+  recipientIncarnation @3 :UInt64;   # the run of the recipient that may accept it
   sequence @4 :UInt64;               # grows with each message of the sender
   body :union {
     hello @5 :Hello;
@@ -25,7 +25,7 @@
 struct Hello {
   self @0 :MemberNews;
   isAnswer @1 :Bool;
-  newestKnown @2 :UInt64;            # highest incarnation seen of the recipient
+  newestKnown @2 :UInt64;            # highest incarnation seen of the recipient, or 0
 }
 
 struct Ping {
@@ -73,8 +73,8 @@
 }
 
 struct Grant {
-  round @0 :UInt64;                  # of the demand; 0 cuts earlier grants
-  lifetimeMilliseconds @1 :UInt32;   # counted from the sending of the demand
+  round @0 :UInt64;                  # of the demand; 0 lowers earlier grants
+  lifetimeMilliseconds @1 :UInt32;   # counts from the sending of the demand
   entries @2 :List(Entry);
   struct Entry {
     endpointId @0 :Text;
--- a/cranberrywick/peers/messages.py
+++ b/cranberrywick/peers/messages.py
@@ -1,7 +1,8 @@
-"""Typed values of the messages between daemons.
+"""Types of the messages between daemons.
 
-`cranberrywick.peers.codec` turns them into bytes and back. Every one is complete in
-itself: it may be lost, repeated or overtaken, and the receiver still ends right.
+`cranberrywick.peers.codec` encodes and decodes them. Every message is complete in
+itself: messages may be lost, repeated or reordered, and the receiver still reaches the
+right state.
 """
 
 from enum import IntEnum
@@ -31,10 +32,10 @@
 
 
 class Hello(NamedTuple):
-    """Tells who the sender is; all that is taken from a sender not yet verified.
+    """Introduces the sender to a daemon that may not know it yet.
 
     ``newest_known`` is the highest incarnation that the sender has seen of the
-    recipient: a daemon whose clock was set back learns from it to go higher.
+    recipient, or 0: a daemon whose clock was set back raises its own above it.
     """
 
     member: Member
@@ -43,16 +44,16 @@
 
 
 class LeavingEndpoint(NamedTuple):
-    """An endpoint that takes no new work until its incarnation grows."""
+    """An endpoint that accepts no new work until its incarnation grows."""
 
     endpoint_id: str
     incarnation: int
 
 
 class Ping(NamedTuple):
-    """Asks for a sign of life and passes news on.
+    """Probes the recipient and carries updates.
 
-    ``version`` and ``digest`` name the configuration in force at the sender.
+    ``version`` and ``digest`` identify the configuration in force at the sender.
     """
 
     round: int
@@ -69,26 +70,26 @@
 
 
 class Notice(Ping):
-    """Passes urgent news on; it asks for no answer."""
+    """Carries urgent updates; the recipient doesn't answer it."""
 
     __slots__ = ()
 
 
 class PingRequest(NamedTuple):
-    """Asks the recipient to ping ``target``, which the sender cannot reach."""
+    """Asks the recipient to ping ``target``, which hasn't answered the sender."""
 
     round: int
     target: str
 
 
 class RelayedAck(PingRequest):
-    """Tells who asked for it that ``target`` has answered."""
+    """Answers a `PingRequest`: ``target`` has answered the ping that was requested."""
 
     __slots__ = ()
 
 
 class Demand(NamedTuple):
-    """What the sender would use of endpoints whose steward is the recipient."""
+    """Asks the recipient, as steward, for slots of its endpoints."""
 
     round: int
     entries: tuple[DemandEntry, ...]
@@ -97,9 +98,9 @@
 class GrantEntry(NamedTuple):
     """One endpoint's part of a grant.
 
-    ``is_steward`` is False when the sender does not hold itself for the steward:
-    its ``slots`` then say nothing. ``load.reported_at`` is on the clock of
-    whoever holds the value; over the wire goes the report's age.
+    ``is_steward`` is False if the sender is not the endpoint's steward or can't grant
+    its slots now; ``slots`` then has no meaning. ``load.reported_at`` holds the age of
+    the report, in seconds, in place of a time on the sender's clock.
     """
 
     endpoint_id: str
@@ -109,9 +110,9 @@
 
 
 class Grant(NamedTuple):
-    """Answers a demand; ``lifetime`` seconds count from when it was sent.
+    """Answers a demand; ``lifetime``, in seconds, counts from the demand's sending.
 
-    A grant of round 0 answers nothing: it lowers earlier grants at once.
+    A grant of round 0 answers no demand: it lowers earlier grants at once.
     """
 
     round: int
@@ -120,21 +121,21 @@
 
 
 class FetchKind(IntEnum):
-    """What a daemon asks of a peer over a connection."""
+    """What a daemon fetches from a peer over a connection."""
 
     CONFIGURATION = 0
     MEMBERS = 1
 
 
 class Fetch(NamedTuple):
-    """Asks for what does not fit a datagram."""
+    """Asks for data that does not fit into a datagram."""
 
     nonce: int
     kind: FetchKind
 
 
 class Answer(NamedTuple):
-    """Answers a fetch of the same nonce."""
+    """Answers the fetch with the same nonce; ``document`` is compressed."""
 
     nonce: int
     version: int = 0
@@ -146,7 +147,11 @@
 
 
 class Envelope(NamedTuple):
-    """A message with its sender and the one run of the recipient it is meant for."""
+    """A message with its sender and the run of the recipient that it is meant for.
+
+    The incarnations identify the runs of both daemons; a recipient that the sender
+    does not know yet is an empty text. ``sequence`` grows with each message of a run.
+    """
 
     sender: str
     incarnation: int
