--- a/cranberrywick/controllers/orders.py
+++ b/cranberrywick/controllers/orders.py
@@ -137,19 +137,17 @@
     """
     models = configuration.models_by_name
     versions = dict(state.version_by_model) if state else {}
-    version_by_model = {
+    held_versions = {
         name: versions.get(name) or models[name].versions[0]
         for name in load.models
         if name in models
     }
-    adapters = {
-        adapter for name in version_by_model for adapter in models[name].adapters
-    }
+    adapters = {adapter for name in held_versions for adapter in models[name].adapters}
     return EngineView(
         endpoint.endpoint_id,
         endpoint.failure_domain,
         load.phase,
-        version_by_model,
+        held_versions,
         state.adapters if state else frozenset(adapters),
         endpoint.models,
         state.role if state else None,
--- a/cranberrywick/peers/node.py
+++ b/cranberrywick/peers/node.py
@@ -1,4 +1,4 @@
-"""One daemon's place among its peers: what it hears from them and tells them.
+"""One daemon's node in the fleet: exchanges its state with the other daemons.
 
 >>> node = PeerNode(settings, timers)
 >>> node.on_configuration(lambda version, document: ...)
@@ -9,8 +9,8 @@
 >>> node.snapshot.serving_by_id
 {'e1': Member(...), 'e2': Member(...)}
 
-Subscribe before `start`. Callbacks run on the node's own threads; they are short
-and never wait.
+Subscribe before `start`. Callbacks run on the node's own threads, so they have to be
+short and must never wait.
 """
 
 import random
@@ -58,20 +58,24 @@
 
 __all__ = ["PeerNode", "PeerSettings"]
 
-# Each wake of a thread costs about as much as a message: these two are the longest
-# at which a probe's answer is judged in time and a first request soon has a slot.
+# Intervals between the ticks of the two actors, in seconds. To wake a thread costs
+# about as much as a message, so these are the longest intervals with which a missing
+# answer to a probe is noticed in time, and a first request soon gets a slot.
 MEMBERSHIP_TICK_SECONDS = 0.25
 GRANTS_TICK_SECONDS = 0.2
-# Whole lists of members repair what lost news left wrong.
-LISTS_SECONDS = 60.0
-# Messages that wait for an actor; what comes beyond is lost like on the network.
+# Interval between fetches of a random peer's whole member list, in seconds. They
+# correct what lost updates left wrong.
+MEMBER_LIST_SECONDS = 60.0
+# Most calls that may wait for an actor. Messages beyond that are dropped, as a network
+# may drop them.
 MAX_INBOX = 2000
-# One line of log for invalid messages in so many seconds, with their count.
+# Shortest interval between two log lines about invalid messages, in seconds; each line
+# contains the number of messages since the last one.
 INVALID_LOG_SECONDS = 10.0
 
 
 class PeerSettings(Protocol):
-    """What the node needs of the daemon's settings."""
+    """The part of the daemon's settings that the node needs."""
 
     daemon_id: str
     failure_domain: str
@@ -86,14 +90,15 @@
 
 
 class PeerNode(PeerEvents):
-    """Talks to the other daemons and keeps what they tell.
+    """Exchanges messages with the other daemons and keeps the state they send.
 
-    ``entry_address`` is what callers are given, by default ``settings.listen``.
-    ``usage`` answers what this daemon does with each endpoint, ``authority`` is the
-    platform's word on stewards; without it cold endpoints get nothing.
-    ``wall_clock`` only names this run of the daemon; nothing is timed with it.
+    ``entry_address`` is the address that callers are given, ``settings.listen`` by
+    default. ``usage`` returns what this daemon does with each endpoint now, by endpoint
+    id. ``authority`` holds the platform's lease on stewardships; without it no slots
+    of cold endpoints are granted. ``wall_clock`` only provides the incarnation, which
+    identifies this run of the daemon; nothing is timed with it.
 
-    Raises OSError when ``settings.peer_listen`` can't be had.
+    Raises OSError if ``settings.peer_listen`` can't be bound.
     """
 
     def __init__(
@@ -176,17 +181,17 @@
 
     @property
     def myself(self) -> Member:
-        """This daemon's own record as its peers see it."""
+        """This daemon's own record, as its peers receive it."""
         return self.snapshot.members_by_id[self._daemon_id]
 
     @property
     def snapshot(self) -> Snapshot:
-        """The members as last known; reading it never waits."""
+        """The members as last known, this daemon included; reading it never waits."""
         return self._view.snapshot
 
     @property
     def configuration(self) -> tuple[int, bytes]:
-        """The version and document that peers are offered; version 0 is none."""
+        """The version and document offered to peers; version 0 stands for none."""
         return self._shared.current
 
     def entries(
@@ -200,17 +205,17 @@
         )
 
     def start(self) -> None:
-        """Start to receive, probe and pass on."""
+        """Start to receive, probe and send updates."""
         self.transport.start()
         every = self._timers.every
         self._subscriptions += [
             every(MEMBERSHIP_TICK_SECONDS, self._tick_membership, jitter=0.1),
             every(GRANTS_TICK_SECONDS, self._tick_grants, jitter=0.1),
-            every(LISTS_SECONDS, self._fetch_a_list, jitter=0.3),
+            every(MEMBER_LIST_SECONDS, self._fetch_random_list, jitter=0.3),
         ]
 
     def stop(self) -> None:
-        """Stop without a word; call `leave` before for a planned stop."""
+        """Stop without notice to the peers; call `leave` first for a planned stop."""
         for subscription in self._subscriptions:
             subscription.cancel()
         self.transport.stop()
@@ -219,40 +224,40 @@
         self._grants.stop()
 
     def leave(self) -> None:
-        """Tell all that this daemon takes no new callers."""
+        """Publish that this daemon accepts no new callers."""
         self._membership.tell(MembershipController.leave)
 
     def set_seeds(self, addresses: Iterable[str]) -> None:
-        """Replace the peer addresses that the VM list gives."""
+        """Replace the peer addresses that the VM list contains."""
         self._membership.tell(MembershipController.set_seeds, list(addresses))
 
     def set_endpoints(self, endpoints_by_id: Mapping[str, Endpoint]) -> None:
-        """Replace the fleet's endpoints, as the VM list and configuration give them."""
+        """Replace the endpoints that the VM list and the configuration define."""
         self._grants.tell(GrantsController.set_endpoints, dict(endpoints_by_id))
 
     def report_load(self, load: EndpointLoad) -> None:
-        """Take a report that this daemon, as the endpoint's steward, asked for."""
+        """Record a load that this daemon, as the endpoint's steward, requested."""
         self._grants.tell(GrantsController.report_load, load)
 
     def record_trouble(self, endpoint_id: str, trouble: Trouble) -> None:
-        """Stop using an endpoint that seems cold, and tell its steward."""
+        """Stop using an endpoint that seems cold, and report this to its steward."""
         self._grants.tell(GrantsController.record_trouble, endpoint_id, trouble)
 
     def demand_rose(self) -> None:
-        """Ask for slots now and not at the next tick; cheap to call often."""
+        """Demand slots now instead of at the next tick; cheap to call often."""
         self._grants.tell(GrantsController.tick)
 
     def announce_leaving(self, endpoint_id: str, incarnation: int) -> None:
-        """Pass on that an endpoint takes no new work."""
+        """Publish that an endpoint accepts no new work."""
         self._membership.tell(
             MembershipController.announce_leaving,
             LeavingEndpoint(endpoint_id, incarnation),
         )
 
     def set_configuration(self, version: int, document: bytes) -> None:
-        """Offer peers the configuration now in force here; older ones are ignored.
+        """Offer to peers the configuration now in force here; ignore an older one.
 
-        Raises ValueError for a document above 1 MiB.
+        Raises ValueError for a document larger than 1 MiB.
         """
         configuration_id = self._shared.put(version, document)
         if configuration_id is not None:
@@ -276,7 +281,7 @@
         except PeerMessageInvalid as error:
             self._record_invalid(error)
             return
-        if self._is_behind():
+        if self._is_overloaded():
             return
         envelope = opened.envelope
         if isinstance(opened, Unverified):
@@ -290,12 +295,12 @@
         else:
             self._membership.tell(MembershipController.receive, envelope)
 
-    def _is_behind(self) -> bool:
+    def _is_overloaded(self) -> bool:
         return max(self._membership.waiting, self._grants.waiting) > MAX_INBOX
 
     def _record_invalid(self, error: PeerMessageInvalid) -> None:
-        # A stranger can send thousands a second; a line for each would be the
-        # larger harm.
+        # Anyone on the network can send thousands of invalid messages per second, and
+        # to log each of them would do more harm than the messages.
         self._invalid_count += 1
         now = self._clock()
         if now - self._invalid_logged_at < INVALID_LOG_SECONDS:
@@ -329,7 +334,7 @@
             return Answer(fetch.nonce, members=members)
         return self._shared.answer(fetch.nonce)
 
-    def _fetch_a_list(self) -> None:
+    def _fetch_random_list(self) -> None:
         others = [
             member
             for member in self.snapshot.serving_by_id.values()
@@ -347,9 +352,9 @@
     def _fetch_configuration(
         self, member: Member, configuration_id: ConfigurationId
     ) -> None:
-        use = partial(call_all, self._configuration_callbacks)
+        on_newer = partial(call_all, self._configuration_callbacks)
         self._fetcher.start(
             member,
             FetchKind.CONFIGURATION,
-            lambda answer: self._shared.take(configuration_id, answer, use),
+            lambda answer: self._shared.accept(configuration_id, answer, on_newer),
         )
--- a/cranberrywick/peers/outbox.py
+++ b/cranberrywick/peers/outbox.py
@@ -1,4 +1,4 @@
-"""Sends demands and grants as datagrams that fit."""
+"""Sends demands and grants, split into datagrams of the allowed size."""
 
 from cranberrywick.controllers.membership import MembershipView
 from cranberrywick.decisions.membership import Status
@@ -11,9 +11,9 @@
 
 
 class Outbox:
-    """Looks up where a daemon is and splits what is too long for one datagram.
+    """Looks up a daemon's address and splits messages too long for one datagram.
 
-    A demand or grant may arrive in parts, for each entry stands for itself.
+    A demand or grant may be split, because its entries are independent of one another.
     """
 
     def __init__(self, session: Session, transport: Transport, view: MembershipView):
@@ -22,11 +22,11 @@
         self._view = view
 
     def send_demand(self, daemon_id: str, demand: Demand) -> None:
-        """Send to a steward."""
+        """Send a demand to a steward."""
         self._send(daemon_id, demand)
 
     def send_grant(self, daemon_id: str, grant: Grant) -> None:
-        """Send to a holder."""
+        """Send a grant to a holder."""
         self._send(daemon_id, grant)
 
     def _send(self, daemon_id: str, body: Demand | Grant) -> None:
--- a/cranberrywick/peers/replay.py
+++ b/cranberrywick/peers/replay.py
@@ -1,4 +1,4 @@
-"""Tells new messages of a sender from repeated and outdated ones."""
+"""Distinguishes new messages of a sender from replayed and outdated ones."""
 
 from collections import OrderedDict
 
@@ -6,16 +6,22 @@
 
 __all__ = ["ReplayGuard"]
 
-# Messages overtake one another by a few places; none by this many.
+# Number of a sender's latest messages whose sequence numbers are remembered. Reordered
+# messages arrive a few places late, never this many.
 WINDOW = 256
-# Ten times the design size; 320 daemons of which 350 are replaced each day need
-# eleven days to fill it. The longest silent sender goes first, and what it said
-# then is older than what is known of it.
+# Most senders that are remembered, ten times the design size: 320 daemons of which 350
+# are replaced each day need eleven days to fill it. The sender that has been silent for
+# longest is evicted first; messages recorded from it are by then older than what the
+# receivers know about it.
 MAX_SENDERS = 4096
 
 
 class _Window:
-    """The newest sequence number of one run of a sender, and which before it came."""
+    """The newest sequence number of one run of a sender, and which others were seen.
+
+    Bit ``n`` of ``seen`` is set if the message ``n`` places before the newest one has
+    been received.
+    """
 
     __slots__ = ("incarnation", "newest", "seen")
 
@@ -40,23 +46,23 @@
 class ReplayGuard:
     """Accepts each message of each sender's newest run once.
 
-    A recorded message stays authentic for ever: sent again it would renew a lease
-    or bring back old news. The sequence number in it can't be changed without the
-    fleet's secret, so remembering what was seen is enough.
+    A recorded message stays authentic forever, and if it were accepted again, it would
+    renew a lease or restore outdated state. Its sequence number can't be changed
+    without the fleet's secret, so it is enough to remember the numbers seen.
     """
 
     def __init__(self) -> None:
         self._windows_by_sender: OrderedDict[str, _Window] = OrderedDict()
 
     def newest_incarnation(self, sender: str) -> int:
-        """Return the newest run known of the sender, 0 if none is."""
+        """Return the newest incarnation seen of the sender, 0 if there is none."""
         window = self._windows_by_sender.get(sender)
         return 0 if window is None else window.incarnation
 
     def accept(self, sender: str, incarnation: int, sequence: int) -> None:
-        """Note a message of the newest run, or of a newer one.
+        """Record a message of the sender's newest known run, or of a newer one.
 
-        Raises `PeerMessageInvalid` if it came before.
+        Raises `PeerMessageInvalid` if the message has been received before.
         """
         window = self._windows_by_sender.get(sender)
         if window is None or incarnation > window.incarnation:
--- a/cranberrywick/peers/session.py
+++ b/cranberrywick/peers/session.py
@@ -1,4 +1,4 @@
-"""Seals and opens messages for one run of this daemon."""
+"""Builds and verifies the frames that one run of this daemon sends and receives."""
 
 import threading
 from dataclasses import dataclass
@@ -14,14 +14,18 @@
 
 @dataclass(frozen=True)
 class Verified:
-    """A new message for this run of this daemon; it may change state."""
+    """A new message to this run of this daemon; it may change state."""
 
     envelope: Envelope
 
 
 @dataclass(frozen=True)
 class Unverified:
-    """Signed, but maybe recorded earlier: answer with a hello, change nothing."""
+    """A signed message that may be a replay: it may be answered by a hello.
+
+    It must not change any state. ``newest_known`` is the newest incarnation seen of
+    the sender, or 0.
+    """
 
     envelope: Envelope
     newest_known: int
@@ -31,11 +35,11 @@
 
 
 class Session:
-    """Gives out sequence numbers and checks those of others.
+    """Numbers the messages of this daemon and checks the numbers of others.
 
-    Safe to use from any thread. A message is verified when it names this daemon and
-    this run of it: one recorded before a restart of this daemon, when its memory of
-    sequence numbers was lost, names an earlier run.
+    Safe to use from any thread. A message is verified only if it names this daemon and
+    this run of it as the recipient. A restart loses the memory of sequence numbers, but
+    any message recorded before it names an earlier run.
     """
 
     def __init__(self, daemon_id: str, incarnation: int, secret: bytes):
@@ -44,7 +48,7 @@
         self._codec = Codec(secret)
         self._sequence = count(1)
         self._guard = ReplayGuard()
-        # Guards the replay guard, which the receiver and the server threads share.
+        # Protects the replay guard, which the receiver and the server threads share.
         self._lock = threading.Lock()
 
     def seal(self, recipient: str, recipient_incarnation: int, body: Body) -> bytes:
@@ -60,9 +64,10 @@
         return self._codec.encode(envelope)
 
     def open(self, frame: bytes) -> Opened:
-        """Return the message of a frame and whether it may be acted on.
+        """Return the message in a frame, as `Verified` or `Unverified`.
 
-        Raises `PeerMessageInvalid` for a forged, malformed or repeated one.
+        Raises `PeerMessageInvalid` for a forged, malformed or replayed message and for
+        one that is meant for another daemon.
         """
         envelope = self._codec.decode(frame)
         if envelope.sender == self._daemon_id:
--- a/cranberrywick/peers/sharing.py
+++ b/cranberrywick/peers/sharing.py
@@ -1,4 +1,4 @@
-"""The configuration that a daemon offers its peers and takes from them."""
+"""The configuration that a daemon offers to its peers and accepts from them."""
 
 import hashlib
 import threading
@@ -13,6 +13,7 @@
 
 __all__ = ["SharedConfiguration"]
 
+# Length of a document's digest, a truncated SHA-256.
 DIGEST_BYTES = 16
 
 
@@ -22,25 +23,26 @@
 
 
 class SharedConfiguration:
-    """The newest document given; safe to use from any thread."""
+    """Holds the newest document put in force; safe to use from any thread."""
 
     def __init__(self) -> None:
         self._document = _Document(ConfigurationId(0, b""), b"")
-        # Guards against two versions given at once; readers take it whole.
+        # Serialises writers. Readers need no lock, since the document is replaced as a
+        # whole.
         self._lock = threading.Lock()
 
     @property
     def current(self) -> tuple[int, bytes]:
-        """The version and document offered; version 0 is none."""
+        """The version and document offered; version 0 stands for none."""
         document = self._document
         if document.configuration_id.version == 0:
             return 0, b""
         return document.configuration_id.version, zlib.decompress(document.compressed)
 
     def put(self, version: int, document: bytes) -> ConfigurationId | None:
-        """Offer this version and return its configuration_id; None if it is not newer.
+        """Offer this version and return its identity; None if it is not newer.
 
-        Raises ValueError for a document above 1 MiB.
+        Raises ValueError for a document larger than 1 MiB.
         """
         if len(document) > MAX_DOCUMENT_BYTES:
             raise ValueError("the configuration is larger than the platform's values")
@@ -56,22 +58,23 @@
         document = self._document
         return Answer(nonce, document.configuration_id.version, document.compressed)
 
-    def take(
+    def accept(
         self,
         announced: ConfigurationId,
         answer: Answer,
-        use: Callable[[int, bytes], None],
+        on_newer: Callable[[int, bytes], None],
     ) -> None:
-        """Give a peer's document to ``use`` if it is newer than what is offered.
+        """Call ``on_newer`` with a peer's version and document if they are newer.
 
-        Raises `PeerMessageInvalid` if it is not the document that was announced.
+        They are compared with the version offered here. Raises `PeerMessageInvalid` if
+        the document of the announced version has another digest.
         """
         document = decompress(answer.document)
         is_announced = answer.version == announced.version
         if is_announced and _digest(document) != announced.digest:
             raise PeerMessageInvalid("the document is not the one that was announced")
         if answer.version > self._document.configuration_id.version:
-            use(answer.version, document)
+            on_newer(answer.version, document)
 
 
 def _digest(document: bytes) -> bytes:
--- a/cranberrywick/peers/transport.py
+++ b/cranberrywick/peers/transport.py
@@ -1,9 +1,9 @@
 """Datagrams and short connections between daemons, on one address.
 
-News, demands and grants go as datagrams: each is complete in itself, a lost one is
-replaced by the next, and a peer that has stopped reading can't hold the sender up.
-What does not fit a datagram goes over a connection, where the kernel already does
-the repeating and the flow control that chunks of datagrams would need from us.
+Updates, demands and grants are sent as datagrams: each is complete in itself, a lost
+one is replaced by the next, and a peer that has stopped reading can't block the sender.
+What does not fit into a datagram is sent over a TCP connection, where the kernel
+provides the retransmission and flow control that a series of datagrams would need.
 """
 
 import socket
@@ -16,20 +16,31 @@
 
 __all__ = ["Transport", "TransportCounts", "split_address"]
 
+# Size of the kernel's receive buffer for datagrams.
 RECEIVE_BUFFER_BYTES = 1 << 20
+# Size of the length that precedes each frame on a connection.
 LENGTH_BYTES = 4
-# A request names a kind and a nonce.
+# Largest request over a connection; it contains only a kind and a nonce.
 MAX_REQUEST_BYTES = 1024
+# Number of connections that are served at the same time.
 SERVER_THREADS = 4
+# Time limit for each read or write on a connection that is served, in seconds.
 SERVER_SECONDS = 3.0
+# Longest time that a thread waits on a socket before it checks whether to stop, in
+# seconds.
 POLL_SECONDS = 2.0
 _POLL_TIMEVAL = struct.pack("ll", int(POLL_SECONDS), 0)
+# Number of attempts to find a port that is free for both TCP and UDP.
 BIND_ATTEMPTS = 20
+# Length of the queue of connections that are not accepted yet.
 BACKLOG = 64
 
 
 class TransportCounts:
-    """Bytes and messages so far; each is written by one thread or is a near count."""
+    """Numbers of bytes and datagrams since the start of the daemon.
+
+    Some are incremented by several threads without a lock, so they are approximate.
+    """
 
     def __init__(self) -> None:
         self.datagrams_sent = 0
@@ -45,16 +56,17 @@
     return host, int(port)
 
 
-def _never(_address: str) -> bool:
+def _is_never_cut(_address: str) -> bool:
     return False
 
 
 class Transport:
-    """One UDP socket with one receiver thread, and a small TCP server beside it.
+    """One UDP socket with one receiver thread, and a small TCP server on the same port.
 
-    ``receive`` gets each datagram on the receiver thread; ``serve`` answers the
-    frame of a connection, or None to close it. ``is_cut`` can be replaced by tests
-    to lose everything that goes to an address.
+    ``receive`` is called with each datagram, on the receiver thread. ``serve`` is
+    called with the frame that arrived over a connection; it returns the answer's frame,
+    or None to close the connection without an answer. Tests can replace ``is_cut``,
+    which says whether everything sent to an address is lost.
     """
 
     def __init__(
@@ -69,11 +81,11 @@
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
         self._servers = ThreadPoolExecutor(SERVER_THREADS, "peer-server")
-        # Connections beyond those being served are closed at once, for the pool's
-        # own queue has no bound.
+        # Connections beyond those being served are closed at once, because the queue of
+        # the thread pool is unbounded.
         self._free_servers = threading.Semaphore(SERVER_THREADS)
         self.counts = TransportCounts()
-        self.is_cut: Callable[[str], bool] = _never
+        self.is_cut: Callable[[str], bool] = _is_never_cut
 
     @property
     def address(self) -> str:
@@ -82,7 +94,7 @@
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Start to receive."""
+        """Start to receive datagrams and to accept connections."""
         for name, run in (
             ("peer-receiver", self._run_receiver),
             ("peer-acceptor", self._run_acceptor),
@@ -102,7 +114,8 @@
         self._tcp.close()
 
     def _wake_threads(self) -> None:
-        # Both threads look at the flag after each wake; this saves the poll's wait.
+        # Both threads check the stop flag whenever they wake up. A datagram and a
+        # connection wake them now instead of after up to `POLL_SECONDS`.
         try:
             self._udp.sendto(b"", self._udp.getsockname())
             socket.create_connection(self._tcp.getsockname(), timeout=0.1).close()
@@ -110,15 +123,15 @@
             pass
 
     def send(self, address: str, frame: bytes) -> None:
-        """Send a datagram, or lose it; never waits and never fails."""
+        """Send a datagram, or drop it if it can't be sent; never waits or raises."""
         if len(frame) > MAX_DATAGRAM_BYTES or self.is_cut(address):
             self.counts.datagrams_dropped += 1
             return
         try:
             self._udp.sendto(frame, socket.MSG_DONTWAIT, split_address(address))
         except (OSError, ValueError):
-            # A full buffer, an unreachable network or a nonsense address in the VM
-            # list: all look like loss, which every receiver of messages expects.
+            # The buffer is full, the network is unreachable or the address in the VM
+            # list is malformed. All these count as loss, which the protocol tolerates.
             self.counts.datagrams_dropped += 1
             return
         self.counts.datagrams_sent += 1
@@ -129,7 +142,7 @@
             try:
                 frame = self._udp.recv(MAX_DATAGRAM_BYTES + 1)
             except OSError:
-                # The time-out, or a refusal by the host of an earlier datagram.
+                # The receive timed out, or the host refused an earlier datagram.
                 continue
             if self._stopping.is_set():
                 return
@@ -159,16 +172,16 @@
                     _write_frame(connection, answer)
                     self.counts.bytes_sent += len(answer)
         except OSError:
-            # The peer went away or is slow; it will ask again.
+            # The peer has closed the connection or is too slow; it will fetch again.
             pass
         finally:
             self._free_servers.release()
 
     def exchange(self, address: str, frame: bytes, seconds: float) -> bytes:
-        """Send a frame over a connection and return the answer's frame.
+        """Send a frame over a new connection and return the answer's frame.
 
-        Waits up to ``seconds`` at each step; raises OSError when the peer is
-        unreachable, slow, or answers more than the limit.
+        Waits up to ``seconds`` at each step. Raises OSError if the peer is unreachable
+        or too slow, or if its answer is larger than `MAX_STREAM_BYTES`.
         """
         if self.is_cut(address):
             raise ConnectionRefusedError("cut by the test")
@@ -181,7 +194,8 @@
 
 
 def _bind_both(host: str, port: int) -> tuple[socket.socket, socket.socket]:
-    # With port 0 the system chooses a TCP port whose UDP twin may be taken.
+    # With port 0 the kernel chooses a free TCP port, but its number may be in use for
+    # UDP.
     attempts = BIND_ATTEMPTS if port == 0 else 1
     for attempt in range(attempts):
         tcp = socket.create_server((host, port), backlog=BACKLOG)
@@ -195,7 +209,8 @@
                 raise
             continue
         udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-        # Not settimeout, which would make a send wait as well.
+        # This sets a time limit for receiving only; settimeout would make sending wait,
+        # too.
         udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, _POLL_TIMEVAL)
         tcp.settimeout(POLL_SECONDS)
         return udp, tcp
--- a/cranberrywick/peers/wire.py
+++ b/cranberrywick/peers/wire.py
@@ -1,8 +1,9 @@
-"""The fields of each message body in the schema, and their limits.
+"""Converts message bodies to and from the schema's fields, and checks their limits.
 
-`write_body` gives what the Cap'n Proto library builds a message from, `read_body` the
-value of a message that it has read. A body that is out of bounds raises
-`PeerMessageInvalid`, ValueError or IndexError; the codec makes them one.
+`write_body` returns the fields from which the Cap'n Proto library builds a message,
+`read_body` the body of a message that the library has read. A body beyond the limits
+raises `PeerMessageInvalid`, ValueError or IndexError; the codec turns all of them into
+`PeerMessageInvalid`.
 """
 
 from collections.abc import Callable
@@ -32,32 +33,36 @@
 
 __all__ = ["checked_text", "read_body", "write_body"]
 
+# Longest text in a message, in characters.
 MAX_TEXT_CHARACTERS = 256
+# Most items in a list in a message.
 MAX_ITEMS = 4096
 
+# The phase with index n is sent as the number n, so the order must not change.
 PHASES = tuple(EndpointPhase)
 
 
 def write_body(body: Body) -> tuple[str, dict]:
-    """Return the name of the body's member in the union, and its fields."""
-    name, write, _ = _FORMS_BY_TYPE[type(body)]
+    """Return the name of the body's member in the schema's union, and its fields."""
+    name, write, _ = _CONVERTERS_BY_TYPE[type(body)]
     return name, write(body)
 
 
 def read_body(body: Any) -> Body:
-    """Return the value of the union's member that is set."""
+    """Return the body in the member of the union that is set."""
     name = str(body.which())
     return _READERS_BY_NAME[name](getattr(body, name))
 
 
 def checked_text(value: str) -> str:
+    """Return ``value``. Raises `PeerMessageInvalid` if it is too long."""
     if len(value) > MAX_TEXT_CHARACTERS:
         raise PeerMessageInvalid("a text in the message is too long")
     return value
 
 
-def _items(values: Any) -> Any:
-    # A list of empty structures takes no bytes, so that the size says nothing.
+def _checked_items(values: Any) -> Any:
+    # Empty structures take up no bytes, so the frame's size doesn't limit their list.
     if len(values) > MAX_ITEMS:
         raise PeerMessageInvalid("a list in the message is too long")
     return values
@@ -90,7 +95,7 @@
 
 
 def _read_members(members: Any) -> tuple[Member, ...]:
-    return tuple(_read_member(member) for member in _items(members))
+    return tuple(_read_member(member) for member in _checked_items(members))
 
 
 def _write_hello(hello: Hello) -> dict:
@@ -102,7 +107,7 @@
 
 
 def _read_hello(hello: Any) -> Hello:
-    # ``self`` is the field's name in the schema.
+    # The schema's field for the sender's own record is called ``self``.
     return Hello(_read_member(hello.self), hello.isAnswer, hello.newestKnown)
 
 
@@ -128,7 +133,7 @@
             members=_read_members(ping.members),
             leaving=tuple(
                 LeavingEndpoint(checked_text(item.endpointId), item.incarnation)
-                for item in _items(ping.leaving)
+                for item in _checked_items(ping.leaving)
             ),
         )
 
@@ -174,7 +179,7 @@
             trouble=Trouble(entry.trouble),
             incarnation=entry.incarnation,
         )
-        for entry in _items(demand.entries)
+        for entry in _checked_items(demand.entries)
     )
     return Demand(demand.round, entries)
 
@@ -212,7 +217,7 @@
 
 
 def _read_grant(grant: Any) -> Grant:
-    entries = tuple(_read_grant_entry(entry) for entry in _items(grant.entries))
+    entries = tuple(_read_grant_entry(entry) for entry in _checked_items(grant.entries))
     return Grant(grant.round, grant.lifetimeMilliseconds / 1000, entries)
 
 
@@ -232,7 +237,7 @@
         waiting=load.waiting,
         prefill_tokens_waiting=load.prefillTokensWaiting,
         cache_tokens_used=load.cacheTokensUsed,
-        models=tuple(checked_text(model) for model in _items(load.models)),
+        models=tuple(checked_text(model) for model in _checked_items(load.models)),
     )
 
 
@@ -262,7 +267,7 @@
     )
 
 
-_FORMS_BY_TYPE = {
+_CONVERTERS_BY_TYPE = {
     Hello: ("hello", _write_hello, _read_hello),
     Ping: ("ping", _write_ping, _ping_reader(Ping)),
     Ack: ("ack", _write_ping, _ping_reader(Ack)),
@@ -278,4 +283,4 @@
     Fetch: ("fetch", _write_fetch, _read_fetch),
     Answer: ("answer", _write_answer, _read_answer),
 }
-_READERS_BY_NAME = {name: read for name, _, read in _FORMS_BY_TYPE.values()}
+_READERS_BY_NAME = {name: read for name, _, read in _CONVERTERS_BY_TYPE.values()}
