--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -1,4 +1,4 @@
-"""Some peers in one process for tests, each with its own sockets."""
+"""Several peers in one process for tests, each with its own sockets."""
 
 import time
 from types import SimpleNamespace
@@ -6,21 +6,22 @@
 from cranberrywick.peers.node import PeerNode
 from cranberrywick.timers import TimerService
 
-# Generous: a busy machine must not change the verdict.
-PATIENCE_SECONDS = 60.0
+# Longest wait for a condition, in seconds. It is long so that a test does not fail only
+# because the machine is busy.
+WAIT_SECONDS = 60.0
 SECRET = "the fleet's secret"
 
 
 def wait_for(condition):
-    """Poll until the condition holds."""
-    give_up_at = time.monotonic() + PATIENCE_SECONDS
+    """Poll until the condition holds; fail after `WAIT_SECONDS`."""
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < give_up_at, "the condition did not come true"
+        assert time.monotonic() < deadline, "the condition did not come true"
         time.sleep(0.01)
 
 
 def settings(daemon_id, secret=SECRET):
-    """Return what a node needs of a daemon's settings."""
+    """Return the part of a daemon's settings that a node needs."""
     return SimpleNamespace(
         daemon_id=daemon_id,
         failure_domain="fd-1",
@@ -32,7 +33,7 @@
 
 
 class FastTimers:
-    """Timers of a fleet whose clock runs ``speed`` times as fast."""
+    """Timers and a clock that run ``speed`` times as fast as real time."""
 
     def __init__(self, speed):
         self._speed = speed
@@ -52,9 +53,10 @@
 
 
 class Fleet:
-    """Nodes that know their elders as seeds.
+    """Nodes of which each has the nodes added before it as seeds.
 
-    With ``speed`` above 1 a suspicion of three seconds passes sooner.
+    With ``speed`` above 1, waits such as the suspicion time of three seconds are
+    shorter.
     """
 
     def __init__(self, speed=1):
@@ -88,20 +90,20 @@
         return nodes
 
     def wait_until_all_see(self, seen, by=None):
-        """Wait until the nodes ``by``, or all, hold just these for serving."""
+        """Wait until the nodes ``by``, or all, see exactly ``seen`` as serving."""
         ids = {node.myself.daemon_id for node in seen}
         for node in by or self.nodes:
             wait_for(lambda node=node: set(node.snapshot.serving_by_id) == ids)
 
     def remove(self, node):
-        """Stop a node without a word, as if killed."""
+        """Stop a node without notice to the others, as if it were killed."""
         self.nodes.remove(node)
         node.stop()
 
     def cut(self, senders, receivers):
-        """Lose all that these send to those from now on, until `heal`.
+        """Drop every message from ``senders`` to ``receivers`` until `heal` is called.
 
-        Returns the list to which the address of each lost message is added.
+        Returns a list to which the recipient's address of each lost message is added.
         """
         addresses = {node.address for node in receivers}
         lost = []
--- a/tests/peer_process.py
+++ b/tests/peer_process.py
@@ -1,6 +1,7 @@
-"""A peer as a process of its own: prints its address, then whom it sees serving.
+"""A peer in a process of its own, for tests.
 
-Arguments: its id, and the peer addresses to begin with.
+Prints its address, then a line with the ids of the serving members at each change.
+Its arguments are its id and the addresses of its seeds.
 """
 
 import sys
--- a/tests/test_endpoint_controller.py
+++ b/tests/test_endpoint_controller.py
@@ -1,4 +1,4 @@
-"""The endpoint controller between the VM list, load reports and the scheduler."""
+"""Tests for the controller that keeps the endpoints' state current."""
 
 from configuration_documents import document
 
@@ -14,7 +14,7 @@
 
 
 class Fixture:
-    """A controller that is called directly, with a VM list and a clock by hand."""
+    """A controller called directly, with a VM list and a clock set by the test."""
 
     def __init__(self, n_vms=2):
         self.now = 0.0
@@ -34,7 +34,7 @@
         self.controller.configure(check(document()))
 
     def read(self):
-        """Answer as the VM list."""
+        """Return the listing; the fixture takes the place of the VM list."""
         self.reads += 1
         vms = [
             Vm(name, VmRole.ENDPOINT, KIND, "127.0.0.1:1", None, "a", "r", state)
@@ -48,10 +48,10 @@
 
 
 def test_what_the_list_says_of_a_leaving_endpoint_is_passed_on_once():
-    """Other daemons send to an endpoint that the list says is leaving.
+    """Daemons that read the list later than this one send work to a leaving endpoint.
 
-    They read the list later than this one. It tells them at once, with the
-    incarnation that is leaving, and does not go on telling.
+    This daemon must report the endpoint and its leaving incarnation at once, but not
+    again with each later list.
     """
     fixture = Fixture()
     fixture.refresh(0.0)
@@ -68,9 +68,9 @@
 
 
 def test_a_large_list_is_read_less_often():
-    """A daemon spends more on reading the VM list than on all other control.
+    """Reading the VM list each second costs more than all other control traffic.
 
-    At 940 VMs a read is 154 KB; read each 30 s it is within 5 KB a second.
+    A list of 940 VMs has 154 KB. Read every 30 seconds, it costs about 5 KB per second.
     """
     fixture = Fixture(n_vms=940)
     for _ in range(60):
--- a/tests/test_grants_authority.py
+++ b/tests/test_grants_authority.py
@@ -1,4 +1,4 @@
-"""The platform's word on who is steward of a shard."""
+"""Tests for the platform's lease that makes a daemon the only steward of a shard."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Platform:
-    """A key-value stand-in and the clock that it shares with the daemons."""
+    """A stand-in for the key-value store, and the clock that daemons share with it."""
 
     def __init__(self):
         self.now = 100.0
@@ -37,11 +37,12 @@
     assert second.held_until(SHARD) is None
 
 
-def test_it_ends_here_before_the_platform_gives_it_away(platform):
-    """A holder is paused past its lease, and another daemon takes over.
+def test_a_hold_ends_before_the_platform_grants_the_shard_again(platform):
+    """Two daemons count as holders of a shard at once.
 
-    Whatever the moment at which the other gets the shard, the first holds it no
-    more, by its own clock and without asking.
+    The first is paused past the end of its lease and a second one acquires the shard.
+    Whenever that happens, the first hold must have ended already by the first daemon's
+    own clock, without a call to the platform.
     """
     first, second = platform.authority("e1"), platform.authority("e2")
     first._update()
@@ -52,7 +53,7 @@
     assert second.held_until(SHARD) is not None
 
 
-def test_it_is_kept_while_it_is_wanted(platform):
+def test_a_shard_is_held_while_it_is_wanted(platform):
     authority = platform.authority("e1")
     for _ in range(20):
         pause = authority._update()
@@ -67,10 +68,10 @@
 
 @pytest.mark.parametrize("path", ["/v1/leases", "/v1/keys"])
 def test_a_lost_answer_gives_no_second_holder(platform, path):
-    """The platform did the write and its answer was lost.
+    """A daemon does not know whether its write was done, because the answer was lost.
 
-    The daemon reads back or asks again; it does not count as holder of anything
-    that it can't show, and ends as the only one.
+    It reads the key back or tries again, counts as a holder only if its own value is
+    stored, and in the end exactly one daemon is the holder.
     """
     first, second = platform.authority("e1"), platform.authority("e2")
     platform.standin.faults.set("drop_next_answer", count=1, path=path)
@@ -89,7 +90,7 @@
     assert second.held_until(SHARD) is None
 
 
-def test_in_an_outage_it_lapses_and_comes_back_spread(platform):
+def test_an_outage_ends_the_hold_and_retries_are_spread(platform):
     authorities = [platform.authority(f"e{i}") for i in range(2)]
     authorities[0]._update()
     platform.standin.faults.set("outage")
--- a/tests/test_grants_exchange.py
+++ b/tests/test_grants_exchange.py
@@ -1,4 +1,4 @@
-"""Leases between daemons over real sockets."""
+"""Tests for demands and grants between daemons over real sockets."""
 
 import pytest
 from peer_fleet import Fleet, wait_for
@@ -10,8 +10,8 @@
 ENDPOINT = Endpoint("r1", EndpointKind.ENGINE, "10.0.0.9:1", "fd-1", "north", slots=8)
 
 
-class WholeAuthority:
-    """A platform that gives every shard to whoever is steward."""
+class GrantingAuthority:
+    """An authority under which the steward always holds every shard."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -24,7 +24,7 @@
 
 
 class Holder:
-    """A node with what it wants, and what it was last told it may use."""
+    """A node with the number of slots that it wants and its last published shares."""
 
     def __init__(self, daemon_id, fleet, wanted=1, authority=None):
         self.wanted = wanted
@@ -51,7 +51,7 @@
 
 
 class Endpoints:
-    """Reports the endpoint's load to its steward, again and again."""
+    """Reports the endpoint's load to its steward at regular intervals."""
 
     def __init__(self, fleet, holders):
         self.phase = EndpointPhase.WARM
@@ -80,10 +80,10 @@
 
 
 def test_slots_go_where_they_are_wanted(fleet):
-    """One daemon has a burst; the others have little work.
+    """One daemon has a burst of requests while the others have little work.
 
-    The steward of the endpoint leases the burst what the others leave, and gives
-    back their part when they want it.
+    The endpoint's steward must lease it the slots that the others do not use, and
+    return part of them to another daemon as soon as that one wants more.
     """
     holders = make_holders(fleet)
     Endpoints(fleet, holders)
@@ -93,11 +93,11 @@
     wait_for(lambda: [holder.slots for holder in holders] in ([4, 3, 1], [3, 4, 1]))
 
 
-def test_a_lost_stewards_endpoints_are_served_on(fleet):
-    """The steward of an endpoint is killed.
+def test_a_successor_grants_the_slots_of_a_killed_steward(fleet):
+    """The steward of an endpoint is killed while others hold leases from it.
 
-    The next one renews what the others hold, hears the endpoint's load in its
-    place, and divides the slots anew when the old leases have lapsed.
+    Its successor must renew these leases, receive the endpoint's load and divide the
+    slots again once the killed daemon's lease has lapsed.
     """
     holders = make_holders(fleet, wanted=8)
     Endpoints(fleet, holders)
@@ -110,7 +110,7 @@
     wait_for(lambda: [holder.slots for holder in left] == [4, 4])
 
 
-def test_a_cold_endpoint_is_leased_by_the_platforms_word_only(fleet):
+def test_a_cold_endpoint_is_leased_only_under_the_platforms_lease(fleet):
     holders = make_holders(fleet, wanted=8)
     Endpoints(fleet, holders).phase = EndpointPhase.COLD
     loads = []
@@ -120,17 +120,17 @@
 
 
 def test_a_cold_endpoint_gets_one_request_from_three_daemons(fleet):
-    authority = WholeAuthority(fleet.clock)
+    authority = GrantingAuthority(fleet.clock)
     holders = make_holders(fleet, wanted=8, authority=authority)
     Endpoints(fleet, holders).phase = EndpointPhase.COLD
     wait_for(lambda: sum(holder.slots for holder in holders) == 1)
 
 
 def test_trouble_seen_by_one_stops_all(fleet):
-    """A warm endpoint turns cold without a word, and refuses one daemon as cold.
+    """A warm endpoint turns cold before it reports that, and refuses one daemon.
 
-    That daemon stops at once and tells the steward, which takes back what the
-    others hold; without the platform's lease nothing is granted again.
+    That daemon must stop using it at once and report this to the steward, which
+    reclaims the others' slots. Without the platform's lease it grants nothing again.
     """
     holders = make_holders(fleet, wanted=8)
     endpoints = Endpoints(fleet, holders)
--- a/tests/test_peers_failures.py
+++ b/tests/test_peers_failures.py
@@ -25,7 +25,7 @@
     fleet.stop()
 
 
-def test_a_killed_daemon_is_found_out_and_its_next_run_taken_back(fleet):
+def test_a_killed_daemon_is_detected_and_its_next_run_serves(fleet):
     """A daemon dies without a word, and starts again on another port.
 
     The others hold it for dead a few seconds later, so that no caller is given its
@@ -79,7 +79,7 @@
         wait_for(lambda node=node: node.configuration[0] == 3)
 
 
-def test_a_cut_of_one_path_one_way_takes_no_one_out(fleet):
+def test_a_one_way_loss_between_two_daemons_marks_neither_dead(fleet):
     """What one daemon sends to another is lost; all other paths work.
 
     Its probes of the other are never answered. It asks two more, who reach it, and
@@ -163,7 +163,7 @@
     return Codec(b"a guessed secret").encode(envelope)
 
 
-def test_a_stranger_with_another_secret_gets_nowhere(fleet):
+def test_a_daemon_with_another_secret_is_ignored(fleet):
     nodes = fleet.add_many(2)
     stranger = fleet.add("e9", secret="another secret")
     received = nodes[0].transport.counts.datagrams_received
@@ -211,7 +211,7 @@
         self.process.stdout.close()
 
 
-def test_a_process_that_stood_still_comes_back():
+def test_a_process_that_was_stopped_for_a_while_serves_again():
     """A daemon is stopped by SIGSTOP until the others hold it for dead.
 
     When it goes on it does not declare them dead in its turn: it hears that it was,
--- a/tests/test_peers_node.py
+++ b/tests/test_peers_node.py
@@ -1,4 +1,4 @@
-"""Daemons that talk over real sockets on loopback."""
+"""Tests for nodes that exchange messages over real sockets on loopback."""
 
 import pytest
 from peer_fleet import Fleet, wait_for
@@ -16,10 +16,10 @@
 
 
 def test_a_configuration_spreads_without_the_platform(fleet):
-    """Operators' change is in force everywhere although the platform is out.
+    """The platform fails after one daemon has received a new configuration.
 
-    One daemon took it before the platform failed. The others hear of the version
-    in its messages, fetch the document from it, and pass it on.
+    The other daemons must learn of the version from its pings, fetch the document
+    from it and offer it in turn.
     """
     nodes = fleet.add_many(4)
     document = b'{"classes": {}}' * 40_000
@@ -37,11 +37,11 @@
     assert [node.configuration for node in nodes] == [(7, b"new")] * 2
 
 
-def test_a_leaving_endpoint_is_told_to_all_once(fleet):
-    """An endpoint refused one daemon's request because it is leaving.
+def test_a_leaving_endpoint_is_reported_once_to_every_daemon(fleet):
+    """Daemons send work to a leaving endpoint that the VM list still shows as live.
 
-    That daemon tells the others, so that none of them sends it work while the VM
-    list still calls it live; each hears of it once, and again only of a new run.
+    A daemon that the endpoint has refused publishes this. Every daemon must report the
+    endpoint once, and again only for a newer incarnation.
     """
     nodes = fleet.add_many(4)
     heard = {node.myself.daemon_id: [] for node in nodes}
