--- a/tests/test_configuration_controller.py
+++ b/tests/test_configuration_controller.py
@@ -1,4 +1,4 @@
-"""The configuration in force: it only grows, whatever the platform answers."""
+"""Tests for the configuration in force, whose version must never decrease."""
 
 import itertools
 
@@ -19,7 +19,7 @@
 from cranberrywick.errors import InvalidConfiguration, NotFound, PlatformUnavailable
 from cranberrywick.standin.kv import InProcessKeyValueStore, KeyValueStandIn
 
-# Generous: only a broken build waits this long.
+# Longest wait for a result, in seconds; only a test that fails waits this long.
 WAIT_SECONDS = 30.0
 CURRENT_PATH = f"/v1/keys/{CURRENT_KEY}"
 
@@ -55,7 +55,7 @@
 
 
 def take_out(*domains):
-    """Return an edit that takes failure domains out."""
+    """Return an edit that sets the failure domains that are out."""
     return lambda _: document(failure_domains_out=list(domains))
 
 
@@ -81,10 +81,11 @@
 
 
 def test_stale_reads_never_turn_it_back(standin, start_controller):
-    """A daemon has version 2 from a peer while the platform still reads version 1.
+    """A stale read puts an older version in force again.
 
-    Each read of the daemon offers version 1 again. Were that taken, a failure
-    domain that operators took out would get new work once more.
+    A daemon has received version 2 from a peer while reads from the platform still
+    return version 1. With version 1 in force, a failure domain that operators took
+    out would get new work.
     """
     controller = start_controller()
     controller.change(take_out())
@@ -92,17 +93,17 @@
     ConfigurationStore(InProcessKeyValueStore(standin)).change(take_out("a"))
     controller.offer_from_peer(2, "f" * 16, document(failure_domains_out=["a"]))
     assert controller.wait_for_version(2, WAIT_SECONDS)
-    # The watch's own answers are stale as well, so it reads at every turn.
+    # The answers of the watch are stale, too, so the daemon reads after each of them.
     wait_for_reads(standin, 2)
     assert controller.current.version == 2
     assert controller.current.configuration.domains_out == {"a"}
 
 
 def test_a_missed_watch_event_is_made_good_by_a_read(standin, store, start_controller):
-    """The watch ends without the event of a change, as after a gap.
+    """A watch misses a change, and the daemon keeps the old version forever.
 
-    The daemon reads the key after each watch, so the change is in force even so;
-    a daemon that trusted events alone would keep the old version for good.
+    The watch ends without the event, as after a gap. The daemon must find the change
+    by the read that follows each watch.
     """
     controller = start_controller()
     controller.change(take_out())
@@ -114,11 +115,11 @@
 def test_a_daemon_that_starts_in_an_outage_takes_it_from_peers(
     standin, store, start_controller
 ):
-    """A new VM starts while the platform is out.
+    """A daemon on a new VM starts during an outage of the platform.
 
-    It is not ready: defaults would refuse every caller or serve a withdrawn key.
-    A peer then gives it version 2, and it is ready. The platform comes back and
-    answers version 1 from a lagging replica: version 2 stays in force.
+    It must not be ready without a configuration, since defaults would refuse every
+    caller or accept a withdrawn key. With version 2 from a peer it is ready, and keeps
+    it when the platform is back and a lagging replica answers with version 1.
     """
     store.change(take_out())
     standin.freeze_reads()
@@ -137,7 +138,7 @@
 def test_a_version_from_a_peer_gets_its_list_of_changes_later(
     standin, store, start_controller
 ):
-    """Peers carry the document alone; the platform's copy adds who changed it."""
+    """A version from a peer has no list of changes; the platform's copy adds it."""
     standin.faults.set("outage")
     controller = start_controller()
     standin.faults.clear()
@@ -154,10 +155,11 @@
 def test_a_daemon_that_starts_on_stale_reads_gets_the_newest(
     standin, store, start_controller
 ):
-    """A new VM starts while reads answer version 1 and version 2 is accepted.
+    """A daemon that has just started puts the version of a stale read in force.
 
-    It has nothing to hold against a stale read, so its first look is a write that
-    must fail, whose refusal carries the true value.
+    Version 2 has been accepted, but reads still return version 1. The daemon knows no
+    version to compare with, so it must first try a write that is bound to fail: the
+    refusal contains the current value.
     """
     store.change(take_out())
     standin.freeze_reads()
@@ -175,7 +177,7 @@
     assert not controller.ready
 
 
-def test_an_unusable_stored_value_leaves_what_is_in_force(standin, start_controller):
+def test_an_unusable_stored_value_is_ignored(standin, start_controller):
     controller = start_controller()
     controller.change(take_out("a"))
     InProcessKeyValueStore(standin).put(CURRENT_KEY, '{"version": 9}')
@@ -199,21 +201,22 @@
 
 
 def test_a_lost_answer_is_settled_by_the_change_id(standin, store):
-    """The change is written and its answer is lost.
+    """A change is written, but the answer to the write is lost.
 
-    The operator must hear that it was accepted. A second write under a new
-    version would be a change that nobody made; an error would be false.
+    The operator must get the result that it was accepted. A second write would add a
+    version that nobody asked for, and an error would be wrong.
     """
     store.change(take_out())
     standin.faults.set("drop_next_answer", count=1, path=CURRENT_PATH)
-    # The first write on this path is the read that must fail; it is lost too.
+    # The first write on this path is the one that is bound to fail and serves as a
+    # read; its answer is lost as well.
     with pytest.raises(PlatformUnavailable):
         store.change(take_out("a"))
     assert store.read().version == 1
     edits = []
 
     def edit(current):
-        # Set here, after the read: the next write on the path is the change.
+        # The fault is set after the read, so that the next write is the change.
         standin.faults.set("drop_next_answer", count=1, path=CURRENT_PATH)
         edits.append(current)
         return document(failure_domains_out=["a"])
@@ -225,10 +228,10 @@
 
 
 def test_a_lost_answer_is_settled_even_when_another_change_follows(standin):
-    """A's write takes effect, its answer is lost, and B changes on top of it.
+    """A's write is done, its answer is lost, and B makes another change after it.
 
-    A reads back version 2, which is B's. The list of latest changes in it names
-    A's change, so A is told "accepted" and does not write a second time.
+    A reads back version 2, which is B's. A must find its own change in that version's
+    list of changes, return it as accepted and not write a second time.
     """
     key_value = InProcessKeyValueStore(standin)
     other = ConfigurationStore(key_value)
@@ -249,8 +252,8 @@
     assert store.read().version == 2
 
 
-def test_an_outcome_that_stays_unknown_is_said_so(standin):
-    """The platform goes out for minutes just after the change was sent."""
+def test_an_outcome_that_stays_unknown_is_reported(standin):
+    """An outage of minutes begins just after a change has been sent."""
     now = [0.0]
 
     def sleep(seconds):
@@ -268,13 +271,13 @@
         store.change(edit, change_id="c1")
     assert now[0] >= SETTLE_SECONDS
     standin.faults.clear()
-    # Given again, the same change id finds what it did.
+    # A repetition with the same change id finds the change that was made.
     assert store.change(lambda _: document(), change_id="c1").version == 1
     assert caught.value.change_id == "c1"
 
 
 def test_of_two_operators_one_wins_and_the_other_sees_the_newer_version(store):
-    """Both edited version 1; the second to arrive would undo the first's change."""
+    """Two operators edit version 1, and the second write undoes the first change."""
     store.change(take_out())
     store.change(take_out("a"), base_version=1, operator="first")
     with pytest.raises(NewerVersion) as caught:
@@ -284,7 +287,7 @@
 
 
 def test_edits_without_a_base_are_made_again_on_what_won(standin, store):
-    """Two operators take out one failure domain each at the same moment."""
+    """Two operators each take out a failure domain, and one change is lost."""
 
     def add(name, before=lambda: None):
         def edit(current):
@@ -317,7 +320,10 @@
 
 
 def test_versions_grow_on_when_the_platform_lost_its_keys(standin, start_controller):
-    """The store comes back empty while daemons have version 2 in force."""
+    """The store loses its keys while daemons have version 2 in force.
+
+    A version that starts at 1 again would be ignored by all of them.
+    """
     controller = start_controller()
     controller.change(take_out("a"))
     controller.change(take_out("a", "b"))
@@ -343,7 +349,7 @@
 
 
 def controller_publisher(controller):
-    """Return what stands in for the actor: it decides at once, on this thread."""
+    """Return a substitute for the actor that decides at once, on this thread."""
 
     class Publisher:
         @staticmethod
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -74,7 +74,7 @@
         server.stop()
 
 
-def orders_taken(server):
+def accepted_versions(server):
     return [order.get("version") for order in server.standin.orders]
 
 
@@ -83,7 +83,7 @@
     assert fleet.order_sender("a").give(endpoint, load("2"), 1) == InForce(1, True)
     fleet.clock.advance(LEASE_SECONDS)
     assert fleet.order_sender("b").give(endpoint, load("2"), 1) == InForce(1, False)
-    assert orders_taken(server) == ["2"]
+    assert accepted_versions(server) == ["2"]
 
 
 def pause_past_the_lease(fleet, endpoint, server):
@@ -109,7 +109,7 @@
     assert isinstance(
         fleet.order_sender("a", pause).give(endpoint, load("2"), 1), FencedOff
     )
-    assert orders_taken(server) == ["3"]
+    assert accepted_versions(server) == ["3"]
 
 
 def test_an_endpoint_that_does_not_check_never_hears_a_paused_holder(fleet):
@@ -122,7 +122,7 @@
     pause = pause_past_the_lease(fleet, endpoint, server)
     outcome = fleet.order_sender("a", pause).give(endpoint, load("2"), 1)
     assert isinstance(outcome, Unconfirmed)
-    assert orders_taken(server) == ["3"]
+    assert accepted_versions(server) == ["3"]
 
 
 class ClosingEngine(BaseHTTPRequestHandler):
@@ -179,7 +179,7 @@
     server.standin.core.load = slow_load
     outcome = fleet.order_sender("a").give(endpoint, load("2"), 1)
     assert outcome == NotGiven("lease_too_old", 0.0)
-    assert orders_taken(server) == []
+    assert accepted_versions(server) == []
 
 
 def test_an_order_without_an_answer_keeps_others_away_until_it_must_have_come(fleet):
@@ -211,7 +211,7 @@
     fleet.weight_store._tokens = 0.0
     outcome = fleet.order_sender("a").give(endpoint, load("2"), 1)
     assert outcome == NotGiven("platform_rate_limited", 1.0)
-    assert orders_taken(server) == []
+    assert accepted_versions(server) == []
 
 
 def test_the_controller_rolls_a_version_out(fleet):
@@ -243,14 +243,14 @@
     controller.tell(OrderController.tick)
     controller.tell(OrderController.tick)
     controller._ref.ask(_nothing())
-    assert orders_taken(servers["engine-1"]) == ["2"]
-    assert orders_taken(servers["engine-2"]) == []
+    assert accepted_versions(servers["engine-1"]) == ["2"]
+    assert accepted_versions(servers["engine-2"]) == []
     warm(servers["engine-1"])
     fleet.clock.advance(LEASE_SECONDS)
     controller.tell(OrderController.tick)
     controller._ref.ask(_nothing())
-    assert orders_taken(servers["engine-2"]) == ["2"]
-    assert orders_taken(servers["engine-1"]) == ["2"]
+    assert accepted_versions(servers["engine-2"]) == ["2"]
+    assert accepted_versions(servers["engine-1"]) == ["2"]
     controller.stop()
 
 
--- a/tests/test_peers_codec.py
+++ b/tests/test_peers_codec.py
@@ -1,4 +1,4 @@
-"""Messages between daemons: what is accepted, and what is not."""
+"""Tests for which messages between daemons are accepted and which are refused."""
 
 import pytest
 from hypothesis import given
@@ -34,13 +34,13 @@
     "e1", 1700, 3, Status.LEAVING, "10.0.0.1:7", "10.0.0.1:8", "fd-1", "north"
 )
 LOAD = EndpointLoad("r1", 9, EndpointPhase.COLD, 0.25, 3, 4, 5000, 60_000, ("m1",))
-NEWS = {"members": (MEMBER,), "leaving": (LeavingEndpoint("r2", 5),)}
+UPDATES = {"members": (MEMBER,), "leaving": (LeavingEndpoint("r2", 5),)}
 
 BODIES = [
     Hello(MEMBER, True, 5),
-    Ping(1, 450, b"d" * 16, **NEWS),
+    Ping(1, 450, b"d" * 16, **UPDATES),
     Ack(2),
-    Notice(0, **NEWS),
+    Notice(0, **UPDATES),
     PingRequest(3, "e2"),
     RelayedAck(3, "e2"),
     Demand(4, (DemandEntry("r1", 7, 2, 3, 100, Trouble.COLD, 9),)),
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
-def test_every_body_survives_the_wire(body):
+def test_every_body_is_decoded_as_encoded(body):
     decoded = CODEC.decode(CODEC.encode(envelope(body)))
     assert decoded == envelope(body)
     assert type(decoded.body) is type(body)
@@ -69,10 +69,10 @@
 
 @given(st.integers(0, 10_000), st.integers(1, 255))
 def test_a_changed_byte_is_refused(position, difference):
-    """A caller of the network sees no state change from a frame altered on the way.
+    """A frame that was altered in transit changes state.
 
-    One byte anywhere in a signed frame is changed before it arrives; the signature
-    covers all that follows it, and the format byte is checked by itself.
+    One byte anywhere in a signed frame is changed. The signature must cover everything
+    after it, and the byte that gives the format must be checked on its own.
     """
     frame = bytearray(CODEC.encode(envelope(BODIES[1])))
     frame[position % len(frame)] ^= difference
@@ -88,10 +88,10 @@
 
 @given(st.binary(max_size=600))
 def test_garbage_signed_with_the_secret_is_refused_or_read_as_a_message(payload):
-    """A faulty peer that holds the secret can crash no other.
+    """A faulty peer that has the secret crashes others with malformed messages.
 
-    Its bytes pass the signature and reach the unpacking; whatever they are, the
-    result is a typed error or a message within the limits.
+    Its frames pass the check of the signature and are unpacked. Whatever they contain,
+    the result must be a typed error or a message within the limits.
     """
     frame = b"\x01" + CODEC._mac(payload) + payload
     try:
@@ -102,11 +102,10 @@
 
 
 def test_a_frame_that_unpacks_to_too_much_is_refused():
-    """A receiver's memory does not grow with what a small frame unpacks to.
+    """A small frame fills the receiver's memory when it is unpacked.
 
-    A signed answer of some hundred bytes holds four megabytes of zeros, which the
-    packed form shrinks to almost nothing. Only the limit on what is unpacked can
-    stop it.
+    A signed answer contains four megabytes of zeros, which packing compresses to about
+    four kilobytes. Only the limit on the unpacked size can refuse it.
     """
     frame = CODEC.encode(envelope(Answer(5, document=bytes(4_000_000))))
     assert len(frame) < 100_000
@@ -128,7 +127,7 @@
 
 
 class TestSession:
-    """What one run of a daemon accepts as new and meant for it."""
+    """Tests for what one run of a daemon accepts as new and meant for it."""
 
     def setup_method(self):
         self.receiver = Session("e2", 1800, SECRET)
@@ -140,7 +139,7 @@
         with pytest.raises(PeerMessageInvalid, match="came before"):
             self.receiver.open(frame)
 
-    def test_messages_that_overtake_one_another_are_accepted(self):
+    def test_reordered_messages_are_accepted(self):
         frames = [self.sender.seal("e2", 1800, Ack(i)) for i in range(20)]
         for frame in reversed(frames):
             assert isinstance(self.receiver.open(frame), Verified)
@@ -152,10 +151,10 @@
         assert opened == Unverified(opened.envelope, 1701)
 
     def test_a_message_recorded_before_a_restart_of_the_receiver_changes_nothing(self):
-        """A receiver that restarts has forgotten which messages it saw.
+        """A message from before the receiver's restart is replayed and accepted.
 
-        One recorded earlier is sent again. It names the earlier run of the
-        receiver, so it is no more than an introduction.
+        The receiver has lost its memory of sequence numbers. The message names the
+        earlier run of the receiver, so it must be returned as unverified.
         """
         recorded = self.sender.seal("e2", 1800, Ack(1))
         restarted = Session("e2", 1801, SECRET)
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -1,4 +1,4 @@
-"""The sweep: memory at engines whose owner died, or whose release was lost."""
+"""Tests for the sweep, which releases engine memory whose owner can no longer do so."""
 
 import subprocess
 import sys
@@ -25,7 +25,7 @@
 WAIT_SECONDS = 20.0
 OWNER = Owner("entry-1", 1, "r1")
 
-# A daemon's request that takes its gang and is killed before it can send.
+# A daemon's request that reserves memory for a gang and then waits to be killed.
 HOLD_AND_WAIT = """
 import sys, threading
 from cranberrywick.decisions.gangs import GangPlan, Part
@@ -39,7 +39,7 @@
 
 
 class Clock:
-    """A clock that a test sets."""
+    """A clock that the test advances."""
 
     now = 1000.0
 
@@ -63,7 +63,7 @@
 
 
 def wait_until(condition, step):
-    """Take steps until a condition holds; the bound only ends a failed test."""
+    """Call ``step`` until a condition holds; fail after `WAIT_SECONDS`."""
     deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
         assert time.monotonic() < deadline, "the condition never came true"
@@ -71,12 +71,12 @@
         time.sleep(0.05)
 
 
-def test_memory_of_a_daemon_killed_in_mid_import_comes_back(engines):
-    """A daemon holds parts of two engines for an hour and is killed with SIGKILL.
+def test_memory_of_a_daemon_killed_during_an_import_is_released(engines):
+    """Engine memory stays reserved after its owner was killed with SIGKILL.
 
-    Nothing on its own path can give them back. Another daemon sees on the engines'
-    lists that their owner has started again since, waits the grace period, and
-    releases both parts.
+    The daemon has reserved parts of two engines' memory for an hour and can't release
+    them any more. Another daemon must find them on the engines' lists, see that the
+    owner is gone, and release both after the grace period.
     """
     addresses = {name: each.address for name, each in engines.items()}
     command = [sys.executable, "-c", HOLD_AND_WAIT, *addresses.values()]
@@ -100,11 +100,11 @@
     sweeper.stop()
 
 
-def test_cancel_that_the_engine_lost_is_made_good_by_its_owner(engines):
-    """The owner cancels a stream; the engine answers that it did, and did not.
+def test_cancel_that_the_engine_lost_is_repeated_by_its_owner(engines):
+    """An engine confirms that it cancelled a stream, but goes on with it.
 
-    Another daemon looks after this engine and sees a live owner. Only the owner
-    knows that the request has ended, and reads the engine's list again.
+    The engine's steward is another daemon, to which the owner is alive. Only the owner
+    knows that the request has ended, so it must check the engine's list itself.
     """
     source = engines["e0"]
     source.standin.faults.set("lose_cancel", count=1)
@@ -127,7 +127,7 @@
     sweeper.stop()
 
 
-def test_engine_is_looked_at_for_a_while_after_a_cleanup():
+def test_engine_is_swept_for_a_while_after_a_cleanup():
     clock = Clock()
     cleanups = Cleanups(clock)
     cleanups.record("e0:1")
@@ -152,7 +152,7 @@
         (OwnerState.SILENT, listed(kind=ListedKind.STREAM, readers=1), None),
     ],
 )
-def test_grace_by_what_is_known_of_the_owner(state, item, released_after):
+def test_grace_depends_on_the_state_of_the_owner(state, item, released_after):
     tracker = OrphanTracker(lambda owner: state)
     assert tracker.orphans("e0", [item], 0.0) == []
     if released_after is None:
@@ -162,8 +162,8 @@
         assert tracker.orphans("e0", [item], released_after) == [item]
 
 
-def test_owner_heard_again_starts_the_grace_anew():
-    """A daemon is cut off for most of the grace period, heard, and cut off again."""
+def test_grace_restarts_after_the_owner_was_alive_again():
+    """A daemon is silent for most of the grace period, alive, and silent again."""
     states = [OwnerState.SILENT, OwnerState.LIVE, OwnerState.SILENT]
     tracker = OrphanTracker(lambda owner: states[0])
     assert tracker.orphans("e0", [listed()], 0.0) == []
@@ -197,7 +197,7 @@
         (Owner("peer", 3, "r"), OwnerState.SILENT),
     ],
 )
-def test_what_is_known_of_an_owner(owner, state):
+def test_owner_state(owner, state):
     members = [member("peer", 2), member("cut-off", 3, Status.DEAD)]
     members_by_id = {each.daemon_id: each for each in members}
     assert owner_state(owner, member("me", 5), {"running"}, members_by_id) is state
