--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints: one holder at a time, and harmless from a paused one."""
+"""Tests for orders to endpoints: one daemon sends at a time, and none sends late."""
 
 import json
 import threading
@@ -38,7 +38,7 @@
 
 
 class Fleet:
-    """An engine, a key-value store and a weight store, with a clock of their own."""
+    """Engines, a key-value store and a weight store, with a clock set by the test."""
 
     def __init__(self):
         self.clock = Clock()
@@ -87,7 +87,11 @@
 
 
 def pause_past_the_lease(fleet, endpoint, server):
-    """Return what happens while a holder is paused just before it sends."""
+    """Return a function for ``before_send`` that lasts longer than the sender's lease.
+
+    Meanwhile another daemon sends an order to the endpoint, and the endpoint may
+    close the connection of the first one.
+    """
 
     def pause():
         fleet.clock.advance(LEASE_SECONDS + 1)
@@ -98,10 +102,11 @@
 
 
 def test_an_endpoint_that_checks_refuses_a_paused_holder(fleet):
-    """Daemon A is paused just before it sends an order for version 2.
+    """An outdated order replaces a newer one at the endpoint.
 
-    Its lease lapses, daemon B orders version 3, and A goes on. Here the connection
-    is still open, so A's order arrives; it carries the older fence and is refused.
+    Daemon A is paused just before it sends an order for version 2. Its lease lapses,
+    daemon B orders version 3, and A goes on. A's connection is still open, so its order
+    arrives, but with the older fencing token, by which the endpoint must refuse it.
     """
     server, endpoint = fleet.start_engine()
     server.drop_connections = lambda: None
@@ -113,10 +118,11 @@
 
 
 def test_an_endpoint_that_does_not_check_never_hears_a_paused_holder(fleet):
-    """The same pause, and the endpoint ignores fences.
+    """An outdated order replaces a newer one at an endpoint that checks no tokens.
 
-    By the end of the lease the endpoint has closed the idle connection on which A
-    looked at it. A sends only there, so its order for version 2 goes nowhere.
+    Daemon A is paused as above. Before its lease has lapsed, the endpoint closes the
+    idle connection over which A has read its state. A must send over that connection
+    only, so that its order for version 2 never arrives.
     """
     server, endpoint = fleet.start_engine(checks_fencing=False)
     pause = pause_past_the_lease(fleet, endpoint, server)
@@ -126,7 +132,7 @@
 
 
 class ClosingEngine(BaseHTTPRequestHandler):
-    """Answers as HTTP/1.0, so each connection ends with its first answer."""
+    """Answers by HTTP/1.0, so that each connection is closed after its first answer."""
 
     orders = []
 
@@ -148,10 +154,10 @@
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
 def test_an_endpoint_that_closes_after_each_answer(fleet, checks_fencing):
-    """The endpoint closes the connection on which it was looked at.
+    """The endpoint closes the connection over which its state was read.
 
-    One that checks gets the order on another connection. For one that does not,
-    nothing would bound how late that could be, so it gets none.
+    If it checks fencing tokens, it must get the order over a new connection. If not,
+    nothing would limit how late the order may arrive, so it must get none.
     """
     handler = type("Handler", (ClosingEngine,), {"orders": []})
     with ThreadingHTTPServer(("127.0.0.1", 0), handler) as server:
@@ -168,7 +174,7 @@
 
 
 def test_a_holder_that_looks_late_sends_nothing(fleet):
-    """The endpoint's answer to the look comes after the part for sending."""
+    """The endpoint's state arrives when the part of the lease for sending is over."""
     server, endpoint = fleet.start_engine(checks_fencing=False)
     answer = server.standin.core.load
 
@@ -183,7 +189,11 @@
 
 
 def test_an_order_without_an_answer_keeps_others_away_until_it_must_have_come(fleet):
-    """The engine takes the order and the answer is lost; it may be under way yet."""
+    """An order is sent while an earlier one may still be on its way to the engine.
+
+    The answer to the earlier one is lost. Other daemons must send nothing until the
+    lease of its sender has lapsed.
+    """
     server, endpoint = fleet.start_engine(checks_fencing=False)
     server.standin.faults.set("drop_next_answer", count=1)
     outcome = fleet.order_sender("a").give(endpoint, load("2"), 1)
@@ -215,9 +225,10 @@
 
 
 def test_the_controller_rolls_a_version_out(fleet):
-    """Two engines report version 1, and operators put version 2 first.
+    """Two engines load a new version at once, and neither of them is warm.
 
-    The first is told; the second only when the first has become warm again.
+    Both report version 1 and operators want version 2. The second engine must get its
+    order only after the first one is warm again.
     """
     servers, endpoints_by_id = {}, {}
     for name, domain in (("engine-1", "a"), ("engine-2", "b")):
@@ -255,7 +266,7 @@
 
 
 def warm(server):
-    """Have an engine report that it is warm, without the lag of its reports."""
+    """Make an engine report at once that it is warm."""
     server.standin.core.turn(EndpointPhase.WARM)
 
 
--- a/tests/test_peers_failures.py
+++ b/tests/test_peers_failures.py
@@ -1,4 +1,4 @@
-"""Failures between daemons, forced on real sockets and processes."""
+"""Tests for failures between daemons, with real sockets and processes."""
 
 import os
 import signal
@@ -26,10 +26,10 @@
 
 
 def test_a_killed_daemon_is_detected_and_its_next_run_serves(fleet):
-    """A daemon dies without a word, and starts again on another port.
+    """Callers are given the address of a killed daemon, or not that of its next run.
 
-    The others hold it for dead a few seconds later, so that no caller is given its
-    address; its new run has a higher incarnation and is serving again at once.
+    The daemon starts again on another port. The others must record its death within
+    seconds, and accept its new run, which has a higher incarnation, at once.
     """
     nodes = fleet.add_many(4)
     fleet.remove(nodes[3])
@@ -39,10 +39,11 @@
 
 
 def test_a_daemon_whose_clock_was_set_back_is_taken_back(fleet):
-    """A VM's wall clock is set back by a day, and its daemon restarts.
+    """A restarted daemon is ignored because its VM's clock was set back by a day.
 
-    Its new run has a lower incarnation than the one that the others remember. They
-    take what it says for late news, tell it what they know, and it goes above.
+    Its new run has a lower incarnation than the one that the others have recorded, so
+    its messages look outdated. The others must send it the higher incarnation, and it
+    must raise its own above that.
     """
     nodes = fleet.add_many(3, wall_clock=lambda: 1_000_000.0)
     fleet.remove(nodes[2])
@@ -57,10 +58,11 @@
 
 
 def test_both_sides_of_a_partition_go_on_and_meet_again(fleet):
-    """The network between two and three daemons is cut for a while.
+    """The two sides of a partition do not find each other again after it has healed.
 
-    Each side goes on with whom it sees, and a configuration that one side accepted
-    meanwhile is in force on the other soon after they meet.
+    The network between two and three daemons fails for a while. Each side must go on
+    with its own members. Afterwards all must see all again, and a configuration that
+    one side accepted meanwhile must reach the other.
     """
     nodes = fleet.add_many(5)
     left, right = nodes[:2], nodes[2:]
@@ -69,7 +71,7 @@
     lost = [fleet.cut(left, right), fleet.cut(right, left)]
     fleet.wait_until_all_see(left, by=left)
     fleet.wait_until_all_see(right, by=right)
-    # Until the last probe of a dead member has ended; greetings of seeds go on.
+    # Wait until the last probe of a dead member is over; hellos to seeds continue.
     settled = [len(each) + 40 for each in lost]
     wait_for(lambda: all(len(e) >= s for e, s in zip(lost, settled, strict=True)))
     right[0].set_configuration(3, b"accepted on the right")
@@ -80,10 +82,11 @@
 
 
 def test_a_one_way_loss_between_two_daemons_marks_neither_dead(fleet):
-    """What one daemon sends to another is lost; all other paths work.
+    """A daemon is recorded as dead because a single network path fails one way.
 
-    Its probes of the other are never answered. It asks two more, who reach it, and
-    so does not hold it for dead; nor does the other lose it.
+    Everything that one daemon sends to another is lost, so its probes are never
+    answered. It must ask other members to probe that daemon, which succeeds, so that
+    neither of the two is recorded as dead.
     """
     nodes = fleet.add_many(4)
     dead = []
@@ -101,11 +104,11 @@
 
 
 def test_forged_and_repeated_messages_change_nothing(fleet):
-    """Someone on the network records all datagrams and sends them again later.
+    """An attacker on the network replays recorded datagrams and sends forged ones.
 
-    A daemon says that it leaves, is stopped, and starts again. Then every datagram
-    so far comes a second time, and some that are signed with another secret. The
-    daemon is still serving, and no endpoint leaves.
+    A daemon announces that it is leaving, stops and starts again. Then every datagram
+    so far is sent a second time, and one that is signed with another secret. The daemon
+    must still be serving, and no endpoint may be reported as leaving.
     """
     nodes = fleet.add_many(3)
     recorded = []
@@ -128,7 +131,7 @@
     wait_for(
         lambda: nodes[0].transport.counts.datagrams_received - received > len(recorded)
     )
-    # What comes after in the receiver's order shows that it has seen all of them.
+    # Datagrams are handled in order, so a later one shows that all have been handled.
     nodes[1].announce_leaving("runner-1", 1)
     wait_for(lambda: leaving)
     assert leaving == [LeavingEndpoint("runner-1", 1)]
@@ -150,7 +153,7 @@
 
 
 def forge(receiver, sender):
-    """Return a message that is right in all but the secret."""
+    """Return a frame that is valid except for the secret that it is signed with."""
     notice = Notice(0, leaving=(LeavingEndpoint("runner-9", 1),))
     envelope = Envelope(
         sender.myself.daemon_id,
@@ -187,7 +190,7 @@
 
 
 class PeerProcess:
-    """A peer as a process, and the last line that it printed."""
+    """A peer in a process of its own, whose output can be read line by line."""
 
     def __init__(self, daemon_id, *seeds):
         self.process = subprocess.Popen(
@@ -212,10 +215,11 @@
 
 
 def test_a_process_that_was_stopped_for_a_while_serves_again():
-    """A daemon is stopped by SIGSTOP until the others hold it for dead.
+    """A paused process records all others as dead when it continues.
 
-    When it goes on it does not declare them dead in its turn: it hears that it was,
-    outranks that word, and all see all again.
+    A daemon is paused by SIGSTOP until the others have recorded it as dead. After
+    SIGCONT it must not record them as dead in turn, but refute the record of its own
+    death, so that all see all again.
     """
     fleet = Fleet()
     nodes = fleet.add_many(2)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,8 +1,8 @@
-"""Whole sessions over real processes, compared with golden files.
+"""Tests of whole sessions with real processes, compared with golden files.
 
-One fleet of three daemons serves all of them. What a caller or operator sends and
-receives is in ``tests/golden/sessions``; read those files as the documentation of
-the interface.
+One fleet of three daemons serves most of them. Everything that a caller or operator
+sends and receives is in ``tests/golden/sessions``; those files also serve as
+documentation of the interface.
 """
 
 import json
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def operator_environment(fleet):
-    """Return the variables that an operator's shell sets."""
+    """Return the environment variables of an operator's shell."""
     return {
         "CRANBERRYWICK_DAEMONS": f"http://{fleet.daemons[0].address}",
         "CRANBERRYWICK_OPERATOR_KEY": OPERATOR_KEY,
@@ -87,10 +87,11 @@
 
 
 def test_stream_that_breaks_off(fleet, transcript):
-    """The engine's connection breaks after the second event.
+    """A stream ends early, or repeats events, when the engine's connection breaks.
 
-    The daemon takes the stream up again after the last event that it passed on. The
-    caller reads each event once, in order, and the end mark.
+    The connection breaks after the second event. The daemon must resume the stream
+    after the last event that it forwarded, so that the caller receives each event once,
+    in order, and the end mark.
     """
     for engine in fleet.engines:
         fleet.set_fault(engine, "drop_stream", after=1, count=1)
@@ -110,11 +111,11 @@
 
 
 def test_book(fleet, transcript):
-    """A caller books, hears nothing, and books again at another entry.
+    """A booking that a caller repeats at another entry runs twice.
 
-    The first daemon claims the key in the platform's service before it sends. The
-    second one finds the claim done and answers what the service answered then. The
-    service ran once; another body under the same key is an error.
+    The first daemon claims the key in the platform's store before it sends the call.
+    The second one must find the claim done and return the recorded answer, so that the
+    service runs once. Another body under the same key must be refused.
     """
     first, second = fleet.daemons[0].address, fleet.daemons[1].address
     path = "/v1/services/booking/slots"
@@ -123,8 +124,8 @@
     transcript.send(first, "POST", path, {"tube": 4}, CALLER)
     transcript.note("With a key it runs.")
     transcript.send(first, "POST", path, {"tube": 4}, keyed)
-    # The first daemon answers its caller before the result is in the store; until
-    # then a repetition reads that the call is still running.
+    # The first daemon answers its caller before it has stored the result. Until then,
+    # the answer to a repetition is that the call is still running.
     wait_for(lambda: _book(second, path, keyed) == 200, "the recorded result")
     transcript.note("Sent again elsewhere, it is answered and does not run.")
     transcript.send(second, "POST", path, {"tube": 4}, keyed)
@@ -160,7 +161,7 @@
 
 @pytest.fixture(scope="module")
 def tight_fleet(tmp_path_factory):
-    """Run one daemon and one engine; one class has targets that nothing can meet."""
+    """Run one daemon and one engine, with a class whose targets can't be met."""
     configuration = json.loads(json.dumps(CONFIGURATION))
     configuration["classes"]["impossible"] = targets(0.0001, 0.0002)
     folder = tmp_path_factory.mktemp("tight")
@@ -171,10 +172,11 @@
 
 
 def test_refuse_what_cannot_be_in_time(tight_fleet):
-    """The class's time is shorter than any engine needs.
+    """An engine gets work that can't be completed in time.
 
-    The scheduler sees that at arrival. The caller reads at once that the request did
-    not run, and when to come back; the engine is sent nothing.
+    The class's target is shorter than any engine needs. The daemon must refuse the
+    request on arrival, with the statement that it did not run and a time to retry, and
+    send nothing to the engine.
     """
     daemon, engine = tight_fleet.daemons[0], tight_fleet.engines[0]
     transcript = Transcript({daemon.address: "entry-a"})
@@ -192,10 +194,11 @@
 
 
 def test_only_engine_serves_one_request_after_another(tight_fleet):
-    """A caller sends five short requests in a row; there is one engine, and idle.
+    """The only engine, which is idle, is avoided because it seems slow.
 
-    Whatever the daemon thinks of that engine's speed, it has no other to prefer: each
-    request is answered. A refusal here would close the service for its whole class.
+    A caller sends five short requests one after another. Whatever the daemon estimates
+    of the engine's speed, there is no other to prefer, so each must be answered. A
+    refusal would make the service unavailable to the whole class.
     """
     address = tight_fleet.daemons[0].address
     path = "/v1/chat/completions"
@@ -208,11 +211,11 @@
 
 
 def test_refuse_when_the_platform_is_out(fleet, transcript):
-    """The key-value service answers nothing while a caller books.
+    """A booking is sent without a claim during an outage of the key-value service.
 
-    Without a claim the call could run twice, so it is not sent: the caller reads
-    that it did not run and when to come back. Completions go on. Later the call runs
-    under the same key.
+    Without a claim it could run twice. The daemon must refuse it, with the statement
+    that it did not run and a time to retry, and still serve completions. After the
+    outage the call must run under the same key.
     """
     address = fleet.daemons[0].address
     path = "/v1/services/booking/slots"
@@ -264,10 +267,11 @@
 
 
 def test_burn_counts_the_service_and_not_its_callers(fleet, operator_environment):
-    """A caller sends the same key with another body, many times over.
+    """The burn report counts the errors of a caller against the service.
 
-    Those answers are its own fault. The report, which hears all three daemons, shows
-    no miss of the class's completion target for them.
+    A caller repeatedly sends the same key with another body. The report, which gathers
+    the counts of all three daemons, must not count these refusals as misses of the
+    class's completion target.
     """
     address, path = fleet.daemons[0].address, "/v1/services/booking/slots"
     keyed = {**CALLER, "Idempotency-Key": "order-19"}
@@ -309,7 +313,7 @@
         _, text = Transcript({}).send(address, "GET", "/metrics")
         return [name for name in expected if f"cranberrywick_{name}" not in text]
 
-    # Loads are heard, and a stream is noted as ended, a moment later.
+    # The loads and the end of the stream are recorded a moment after the answer.
     wait_for(lambda: not missing(), f"one of {expected}")
 
 
@@ -319,10 +323,11 @@
 
 
 def test_domain_out_and_back(fleet, transcript, operator_environment):
-    """An operator takes a failure domain out and brings it back.
+    """A failure domain that an operator has taken out still gets callers or work.
 
-    Callers are no longer told its entry, and its engine gets no new work; afterwards
-    both come back. Another entry is asked, for the first one is in the domain.
+    Its entry must no longer be listed and its engine must get no new work until the
+    operator brings it back. The requests go to another entry, because the first one is
+    in that domain.
     """
     address, engine = fleet.daemons[1].address, fleet.engines[0]
 
