--- a/cranberrywick/controllers/authority.py
+++ b/cranberrywick/controllers/authority.py
@@ -1,8 +1,8 @@
 """Holds the platform's lease that makes this daemon the only steward of its shards.
 
-Only shards need it in which some endpoint can't yet serve all its slots, such as a
-cold one. The keys of all of a daemon's shards are attached to a single lease, so that
-renewing them costs one call every few seconds, whatever their number.
+Only a shard needs it that contains an endpoint which can't serve all its slots yet,
+such as a cold one. The keys of all of a daemon's shards are attached to a single lease,
+so that renewing them costs one call every few seconds, whatever their number.
 """
 
 import random
--- a/cranberrywick/controllers/grants.py
+++ b/cranberrywick/controllers/grants.py
@@ -23,8 +23,8 @@
 # A demand to a steward also renews the leases that fall due within this time, in
 # seconds, so that the endpoints of one steward stay in one message.
 BATCH_SECONDS = 1.5
-# Longest interval between two publications of the shares, in seconds. Without any
-# message, too, some leases have expired by then.
+# Longest interval between two publications of the shares, in seconds. Leases expire
+# without a message, so the shares can change even if none arrives.
 PUBLISH_SECONDS = 1.0
 # Shortest interval between two requests to a holder to give back the slots of an
 # endpoint that exceed its share, in seconds.
--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -48,7 +48,7 @@
 # Number of members that receive an urgent update at once: all of a small fleet, and
 # enough of a large one that their pings reach the rest within a few seconds.
 NOTICE_FANOUT = 16
-# Number of pings and notices in which a leaving endpoint is repeated.
+# Number of pings, acks and notices in which a leaving endpoint is repeated.
 LEAVING_REPEATS = 20
 # Most leaving endpoints, and most relayed probes without an answer, that are
 # remembered; the oldest are forgotten first.
--- a/tests/test_configuration_controller.py
+++ b/tests/test_configuration_controller.py
@@ -81,7 +81,7 @@
 
 
 def test_stale_reads_never_turn_it_back(standin, start_controller):
-    """A stale read puts an older version in force again.
+    """Guards against a stale read that puts an older version in force again.
 
     A daemon has received version 2 from a peer while reads from the platform still
     return version 1. With version 1 in force, a failure domain that operators took
@@ -100,7 +100,7 @@
 
 
 def test_a_missed_watch_event_is_made_good_by_a_read(standin, store, start_controller):
-    """A watch misses a change, and the daemon keeps the old version forever.
+    """Guards against keeping an old version forever because a watch missed a change.
 
     The watch ends without the event, as after a gap. The daemon must find the change
     by the read that follows each watch.
@@ -155,7 +155,7 @@
 def test_a_daemon_that_starts_on_stale_reads_gets_the_newest(
     standin, store, start_controller
 ):
-    """A daemon that has just started puts the version of a stale read in force.
+    """Guards against a start with the outdated version of a stale read.
 
     Version 2 has been accepted, but reads still return version 1. The daemon knows no
     version to compare with, so it must first try a write that is bound to fail: the
@@ -277,7 +277,7 @@
 
 
 def test_of_two_operators_one_wins_and_the_other_sees_the_newer_version(store):
-    """Two operators edit version 1, and the second write undoes the first change."""
+    """Guards against a write that undoes a change made since its base version."""
     store.change(take_out())
     store.change(take_out("a"), base_version=1, operator="first")
     with pytest.raises(NewerVersion) as caught:
@@ -287,7 +287,7 @@
 
 
 def test_edits_without_a_base_are_made_again_on_what_won(standin, store):
-    """Two operators each take out a failure domain, and one change is lost."""
+    """Guards against a lost change when two operators edit at the same moment."""
 
     def add(name, before=lambda: None):
         def edit(current):
--- a/tests/test_endpoint_controller.py
+++ b/tests/test_endpoint_controller.py
@@ -28,7 +28,7 @@
             self.board,
             Dispatcher(make_strategy("least-outstanding", seed=1)),
             EventLog(),
-            left=lambda *news: self.left.append(news),
+            left=lambda *arguments: self.left.append(arguments),
             clock=lambda: self.now,
         )
         self.controller.configure(check(document()))
@@ -48,7 +48,7 @@
 
 
 def test_what_the_list_says_of_a_leaving_endpoint_is_passed_on_once():
-    """Daemons that read the list later than this one send work to a leaving endpoint.
+    """Guards against work for a leaving endpoint from daemons with an older list.
 
     This daemon must report the endpoint and its leaving incarnation at once, but not
     again with each later list.
@@ -68,7 +68,7 @@
 
 
 def test_a_large_list_is_read_less_often():
-    """Reading the VM list each second costs more than all other control traffic.
+    """Guards against a VM list that costs more than all other control traffic.
 
     A list of 940 VMs has 154 KB. Read every 30 seconds, it costs about 5 KB per second.
     """
--- a/tests/test_grants_authority.py
+++ b/tests/test_grants_authority.py
@@ -38,7 +38,7 @@
 
 
 def test_a_hold_ends_before_the_platform_grants_the_shard_again(platform):
-    """Two daemons count as holders of a shard at once.
+    """Guards against two daemons that count as holders of a shard at once.
 
     The first is paused past the end of its lease and a second one acquires the shard.
     Whenever that happens, the first hold must have ended already by the first daemon's
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -102,7 +102,7 @@
 
 
 def test_an_endpoint_that_checks_refuses_a_paused_holder(fleet):
-    """An outdated order replaces a newer one at the endpoint.
+    """Guards against an outdated order that replaces a newer one.
 
     Daemon A is paused just before it sends an order for version 2. Its lease lapses,
     daemon B orders version 3, and A goes on. A's connection is still open, so its order
@@ -118,7 +118,7 @@
 
 
 def test_an_endpoint_that_does_not_check_never_hears_a_paused_holder(fleet):
-    """An outdated order replaces a newer one at an endpoint that checks no tokens.
+    """Guards against an outdated order at an endpoint that checks no tokens.
 
     Daemon A is paused as above. Before its lease has lapsed, the endpoint closes the
     idle connection over which A has read its state. A must send over that connection
@@ -189,7 +189,7 @@
 
 
 def test_an_order_without_an_answer_keeps_others_away_until_it_must_have_come(fleet):
-    """An order is sent while an earlier one may still be on its way to the engine.
+    """Guards against an order while an earlier one may still be on its way.
 
     The answer to the earlier one is lost. Other daemons must send nothing until the
     lease of its sender has lapsed.
@@ -225,7 +225,7 @@
 
 
 def test_the_controller_rolls_a_version_out(fleet):
-    """Two engines load a new version at once, and neither of them is warm.
+    """Guards against a rollout that leaves no engine warm.
 
     Both report version 1 and operators want version 2. The second engine must get its
     order only after the first one is warm again.
--- a/tests/test_peers_codec.py
+++ b/tests/test_peers_codec.py
@@ -69,7 +69,7 @@
 
 @given(st.integers(0, 10_000), st.integers(1, 255))
 def test_a_changed_byte_is_refused(position, difference):
-    """A frame that was altered in transit changes state.
+    """Guards against the acceptance of a frame that was altered in transit.
 
     One byte anywhere in a signed frame is changed. The signature must cover everything
     after it, and the byte that gives the format must be checked on its own.
@@ -88,7 +88,7 @@
 
 @given(st.binary(max_size=600))
 def test_garbage_signed_with_the_secret_is_refused_or_read_as_a_message(payload):
-    """A faulty peer that has the secret crashes others with malformed messages.
+    """Guards against crashes by malformed messages of a peer that has the secret.
 
     Its frames pass the check of the signature and are unpacked. Whatever they contain,
     the result must be a typed error or a message within the limits.
@@ -102,7 +102,7 @@
 
 
 def test_a_frame_that_unpacks_to_too_much_is_refused():
-    """A small frame fills the receiver's memory when it is unpacked.
+    """Guards against a small frame that fills the receiver's memory when unpacked.
 
     A signed answer contains four megabytes of zeros, which packing compresses to about
     four kilobytes. Only the limit on the unpacked size can refuse it.
@@ -151,7 +151,7 @@
         assert opened == Unverified(opened.envelope, 1701)
 
     def test_a_message_recorded_before_a_restart_of_the_receiver_changes_nothing(self):
-        """A message from before the receiver's restart is replayed and accepted.
+        """Guards against a replayed message from before the receiver's restart.
 
         The receiver has lost its memory of sequence numbers. The message names the
         earlier run of the receiver, so it must be returned as unverified.
--- a/tests/test_peers_failures.py
+++ b/tests/test_peers_failures.py
@@ -26,9 +26,9 @@
 
 
 def test_a_killed_daemon_is_detected_and_its_next_run_serves(fleet):
-    """Callers are given the address of a killed daemon, or not that of its next run.
+    """Guards against the address of a killed daemon in the list for callers.
 
-    The daemon starts again on another port. The others must record its death within
+    It starts again on another port. The others must record its death within
     seconds, and accept its new run, which has a higher incarnation, at once.
     """
     nodes = fleet.add_many(4)
@@ -39,7 +39,7 @@
 
 
 def test_a_daemon_whose_clock_was_set_back_is_taken_back(fleet):
-    """A restarted daemon is ignored because its VM's clock was set back by a day.
+    """Guards against ignoring a daemon whose VM's clock was set back by a day.
 
     Its new run has a lower incarnation than the one that the others have recorded, so
     its messages look outdated. The others must send it the higher incarnation, and it
@@ -58,7 +58,7 @@
 
 
 def test_both_sides_of_a_partition_go_on_and_meet_again(fleet):
-    """The two sides of a partition do not find each other again after it has healed.
+    """Guards against a partition whose sides stay separate after it has healed.
 
     The network between two and three daemons fails for a while. Each side must go on
     with its own members. Afterwards all must see all again, and a configuration that
@@ -82,7 +82,7 @@
 
 
 def test_a_one_way_loss_between_two_daemons_marks_neither_dead(fleet):
-    """A daemon is recorded as dead because a single network path fails one way.
+    """Guards against a record of death because of one network path that fails.
 
     Everything that one daemon sends to another is lost, so its probes are never
     answered. It must ask other members to probe that daemon, which succeeds, so that
@@ -104,7 +104,7 @@
 
 
 def test_forged_and_repeated_messages_change_nothing(fleet):
-    """An attacker on the network replays recorded datagrams and sends forged ones.
+    """Guards against recorded datagrams that are replayed and against forged ones.
 
     A daemon announces that it is leaving, stops and starts again. Then every datagram
     so far is sent a second time, and one that is signed with another secret. The daemon
@@ -125,9 +125,9 @@
 
     received = nodes[0].transport.counts.datagrams_received
     forged = forge(nodes[0], nodes[1])
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as outsider:
         for frame in [*recorded, forged]:
-            stranger.sendto(frame, split_address(nodes[0].address))
+            outsider.sendto(frame, split_address(nodes[0].address))
     wait_for(
         lambda: nodes[0].transport.counts.datagrams_received - received > len(recorded)
     )
@@ -168,13 +168,13 @@
 
 def test_a_daemon_with_another_secret_is_ignored(fleet):
     nodes = fleet.add_many(2)
-    stranger = fleet.add("e9", secret="another secret")
+    outsider = fleet.add("e9", secret="another secret")
     received = nodes[0].transport.counts.datagrams_received
     for _ in range(20):
-        stranger.set_seeds([node.address for node in nodes])
+        outsider.set_seeds([node.address for node in nodes])
     wait_for(lambda: nodes[0].transport.counts.datagrams_received > received + 20)
     assert set(nodes[0].snapshot.members_by_id) == {"e1", "e2"}
-    assert set(stranger.snapshot.members_by_id) == {"e9"}
+    assert set(outsider.snapshot.members_by_id) == {"e9"}
 
 
 def test_garbage_on_the_connection_is_closed_and_the_daemon_still_serves(fleet):
@@ -215,7 +215,7 @@
 
 
 def test_a_process_that_was_stopped_for_a_while_serves_again():
-    """A paused process records all others as dead when it continues.
+    """Guards against a paused process that, once continued, records others as dead.
 
     A daemon is paused by SIGSTOP until the others have recorded it as dead. After
     SIGCONT it must not record them as dead in turn, but refute the record of its own
--- a/tests/test_peers_node.py
+++ b/tests/test_peers_node.py
@@ -38,21 +38,23 @@
 
 
 def test_a_leaving_endpoint_is_reported_once_to_every_daemon(fleet):
-    """Daemons send work to a leaving endpoint that the VM list still shows as live.
+    """Guards against work for a leaving endpoint that the VM list shows as live.
 
     A daemon that the endpoint has refused publishes this. Every daemon must report the
     endpoint once, and again only for a newer incarnation.
     """
     nodes = fleet.add_many(4)
-    heard = {node.myself.daemon_id: [] for node in nodes}
+    leaving_by_daemon_id = {node.myself.daemon_id: [] for node in nodes}
     for node in nodes:
-        node.on_leaving(heard[node.myself.daemon_id].append)
+        node.on_leaving(leaving_by_daemon_id[node.myself.daemon_id].append)
     nodes[0].announce_leaving("runner-1", 5)
-    wait_for(lambda: all(heard.values()))
+    wait_for(lambda: all(leaving_by_daemon_id.values()))
     nodes[1].announce_leaving("runner-1", 5)
     nodes[1].announce_leaving("runner-1", 6)
-    wait_for(lambda: all(len(leaving) == 2 for leaving in heard.values()))
-    for leaving in heard.values():
+    wait_for(
+        lambda: all(len(leaving) == 2 for leaving in leaving_by_daemon_id.values())
+    )
+    for leaving in leaving_by_daemon_id.values():
         assert leaving == [("runner-1", 5), ("runner-1", 6)]
 
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -87,7 +87,7 @@
 
 
 def test_stream_that_breaks_off(fleet, transcript):
-    """A stream ends early, or repeats events, when the engine's connection breaks.
+    """Guards against lost or repeated events when the engine's connection breaks.
 
     The connection breaks after the second event. The daemon must resume the stream
     after the last event that it forwarded, so that the caller receives each event once,
@@ -111,7 +111,7 @@
 
 
 def test_book(fleet, transcript):
-    """A booking that a caller repeats at another entry runs twice.
+    """Guards against running a booking twice that a caller repeats at another entry.
 
     The first daemon claims the key in the platform's store before it sends the call.
     The second one must find the claim done and return the recorded answer, so that the
@@ -172,7 +172,7 @@
 
 
 def test_refuse_what_cannot_be_in_time(tight_fleet):
-    """An engine gets work that can't be completed in time.
+    """Guards against work for an engine that can't complete it in time.
 
     The class's target is shorter than any engine needs. The daemon must refuse the
     request on arrival, with the statement that it did not run and a time to retry, and
@@ -194,7 +194,7 @@
 
 
 def test_only_engine_serves_one_request_after_another(tight_fleet):
-    """The only engine, which is idle, is avoided because it seems slow.
+    """Guards against avoiding the only engine, though idle, because it seems slow.
 
     A caller sends five short requests one after another. Whatever the daemon estimates
     of the engine's speed, there is no other to prefer, so each must be answered. A
@@ -211,7 +211,7 @@
 
 
 def test_refuse_when_the_platform_is_out(fleet, transcript):
-    """A booking is sent without a claim during an outage of the key-value service.
+    """Guards against a booking without a claim during a key-value outage.
 
     Without a claim it could run twice. The daemon must refuse it, with the statement
     that it did not run and a time to retry, and still serve completions. After the
@@ -267,7 +267,7 @@
 
 
 def test_burn_counts_the_service_and_not_its_callers(fleet, operator_environment):
-    """The burn report counts the errors of a caller against the service.
+    """Guards against a burn report that counts a caller's errors as misses.
 
     A caller repeatedly sends the same key with another body. The report, which gathers
     the counts of all three daemons, must not count these refusals as misses of the
@@ -323,7 +323,7 @@
 
 
 def test_domain_out_and_back(fleet, transcript, operator_environment):
-    """A failure domain that an operator has taken out still gets callers or work.
+    """Guards against callers or work for a failure domain that is out.
 
     Its entry must no longer be listed and its engine must get no new work until the
     operator brings it back. The requests go to another entry, because the first one is
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -72,7 +72,7 @@
 
 
 def test_memory_of_a_daemon_killed_during_an_import_is_released(engines):
-    """Engine memory stays reserved after its owner was killed with SIGKILL.
+    """Guards against engine memory that stays reserved after SIGKILL of its owner.
 
     The daemon has reserved parts of two engines' memory for an hour and can't release
     them any more. Another daemon must find them on the engines' lists, see that the
@@ -101,7 +101,7 @@
 
 
 def test_cancel_that_the_engine_lost_is_repeated_by_its_owner(engines):
-    """An engine confirms that it cancelled a stream, but goes on with it.
+    """Guards against a stream that goes on though the engine confirmed its end.
 
     The engine's steward is another daemon, to which the owner is alive. Only the owner
     knows that the request has ended, so it must check the engine's list itself.
