--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -79,7 +79,7 @@
 
 
 class MembershipView:
-    """Holds what other threads may read without a call of the actor."""
+    """Holds the newest snapshot, for other threads to read without the actor."""
 
     def __init__(self, snapshot: Snapshot):
         self.snapshot = snapshot
@@ -159,7 +159,7 @@
         self._hellos_left = HELLOS_PER_TICK
         changes = self._membership.changes
         for action in self._membership.tick(now):
-            self._send_probe(action)
+            self._perform(action)
         if self._membership.changes != changes:
             self._send_notices()
         if self._ticks % TICKS_PER_PROBE == 0:
@@ -172,7 +172,7 @@
         if probe is not None:
             self._send_ping(probe.daemon_id, Ping, probe.round)
 
-    def _send_probe(self, action: Probe | ProbeThrough) -> None:
+    def _perform(self, action: Probe | ProbeThrough) -> None:
         if isinstance(action, Probe):
             self._probe(action)
         else:
@@ -252,7 +252,7 @@
         elif isinstance(body, Ping):
             self._handle_ping(envelope, body, now)
         self._notify_if_dead(envelope.sender)
-        # An update about an earlier run of this daemon may have raised it.
+        # An update about an earlier run of this daemon may have raised the incarnation.
         self._session.incarnation = self._membership.myself.incarnation
         self._publish()
 
--- a/cranberrywick/peers/messages.py
+++ b/cranberrywick/peers/messages.py
@@ -34,8 +34,8 @@
 class Hello(NamedTuple):
     """Introduces the sender to a daemon that may not know it yet.
 
-    No other message may leave the recipient unnamed, and no other contents are used
-    of a message that isn't verified.
+    Only a hello may leave the recipient unnamed. While its sender isn't verified,
+    nothing but the peer address in it is used, to answer it.
 
     ``newest_known`` is the highest incarnation that the sender has seen of the
     recipient, or 0: a daemon whose clock was set back raises its own above it.
--- a/cranberrywick/peers/session.py
+++ b/cranberrywick/peers/session.py
@@ -9,7 +9,7 @@
 from cranberrywick.peers.messages import Body, Envelope, Hello
 from cranberrywick.peers.replay import ReplayGuard
 
-__all__ = ["Unverified", "Opened", "Session", "Verified"]
+__all__ = ["Opened", "Session", "Unverified", "Verified"]
 
 
 @dataclass(frozen=True)
