--- a/cranberrywick/peers/transport.py
+++ b/cranberrywick/peers/transport.py
@@ -51,7 +51,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the host and port of ``host:port``."""
+    """Return the host and port of ``host:port``.
+
+    >>> split_address("10.0.0.2:7000")
+    ('10.0.0.2', 7000)
+
+    Raises ValueError if the port isn't a number.
+    """
     host, _, port = address.rpartition(":")
     return host, int(port)
 
