--- a/tests/test_grants_authority.py
+++ b/tests/test_grants_authority.py
@@ -1,4 +1,4 @@
-"""The platform's word on who is steward of a shard."""
+"""Tests for the platform's lease that makes a daemon the only steward of a shard."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Platform:
-    """A key-value stand-in and the clock that it shares with the daemons."""
+    """A stand-in for the key-value store, and the clock that daemons share with it."""
 
     def __init__(self):
         self.now = 100.0
@@ -20,7 +20,7 @@
 
     def authority(self, daemon_id):
         authority = ShardAuthority(self.store, daemon_id, 1, lambda: self.now)
-        authority.want(WANTED)
+        authority.set_wanted(WANTED)
         return authority
 
 
@@ -31,72 +31,73 @@
 
 def test_one_daemon_at_a_time_holds_a_shard(platform):
     first, second = platform.authority("e1"), platform.authority("e2")
-    first._turn()
-    second._turn()
-    assert first.until(SHARD) > platform.now
-    assert second.until(SHARD) is None
+    first._update()
+    second._update()
+    assert first.held_until(SHARD) > platform.now
+    assert second.held_until(SHARD) is None
 
 
-def test_it_ends_here_before_the_platform_gives_it_away(platform):
-    """A holder is paused past its lease, and another daemon takes over.
+def test_a_hold_ends_before_the_platform_grants_the_shard_again(platform):
+    """Guards against two daemons that count as holders of a shard at once.
 
-    Whatever the moment at which the other gets the shard, the first holds it no
-    more, by its own clock and without asking.
+    The first is paused past the end of its lease and a second one acquires the shard.
+    Whenever that happens, the first hold must have ended already by the first daemon's
+    own clock, without a call to the platform.
     """
     first, second = platform.authority("e1"), platform.authority("e2")
-    first._turn()
+    first._update()
     for _ in range(100):
         platform.now += LEASE_SECONDS / 50
-        second._turn()
-        assert first.until(SHARD) is None or second.until(SHARD) is None
-    assert second.until(SHARD) is not None
+        second._update()
+        assert first.held_until(SHARD) is None or second.held_until(SHARD) is None
+    assert second.held_until(SHARD) is not None
 
 
-def test_it_is_kept_while_it_is_wanted(platform):
+def test_a_shard_is_held_while_it_is_wanted(platform):
     authority = platform.authority("e1")
     for _ in range(20):
-        pause = authority._turn()
+        pause = authority._update()
         platform.now += pause
-        assert authority.until(SHARD) is not None
+        assert authority.held_until(SHARD) is not None
     calls = sum(platform.standin.counts_by_kind.values())
     assert calls <= 22
-    authority.want(frozenset())
-    assert authority._turn() is None
-    assert authority.until(SHARD) is None
+    authority.set_wanted(frozenset())
+    assert authority._update() is None
+    assert authority.held_until(SHARD) is None
 
 
 @pytest.mark.parametrize("path", ["/v1/leases", "/v1/keys"])
 def test_a_lost_answer_gives_no_second_holder(platform, path):
-    """The platform did the write and its answer was lost.
+    """A daemon does not know whether its write was done, because the answer was lost.
 
-    The daemon reads back or asks again; it does not count as holder of anything
-    that it can't show, and ends as the only one.
+    It reads the key back or tries again, counts as a holder only if its own value is
+    stored, and in the end exactly one daemon is the holder.
     """
     first, second = platform.authority("e1"), platform.authority("e2")
     platform.standin.faults.set("drop_next_answer", count=1, path=path)
-    first._turn()
-    second._turn()
-    first._turn()
-    holders = [each for each in (first, second) if each.until(SHARD) is not None]
+    first._update()
+    second._update()
+    first._update()
+    holders = [each for each in (first, second) if each.held_until(SHARD) is not None]
     assert len(holders) == 1
 
 
 def test_a_lost_request_gives_no_second_holder(platform):
     first, second = platform.authority("e1"), platform.authority("e2")
-    first._turn()
+    first._update()
     platform.standin.faults.set("lose_next_request", count=1, path="/v1/keys")
-    second._turn()
-    assert second.until(SHARD) is None
+    second._update()
+    assert second.held_until(SHARD) is None
 
 
-def test_in_an_outage_it_lapses_and_comes_back_spread(platform):
+def test_an_outage_ends_the_hold_and_retries_are_spread(platform):
     authorities = [platform.authority(f"e{i}") for i in range(2)]
-    authorities[0]._turn()
+    authorities[0]._update()
     platform.standin.faults.set("outage")
-    pauses = {round(each._turn(), 3) for each in authorities for _ in range(10)}
+    pauses = {round(each._update(), 3) for each in authorities for _ in range(10)}
     assert len(pauses) > 10 and min(pauses) >= 2.0
     platform.now += LEASE_SECONDS
-    assert authorities[0].until(SHARD) is None
+    assert authorities[0].held_until(SHARD) is None
     platform.standin.faults.clear()
-    authorities[1]._turn()
-    assert authorities[1].until(SHARD) is not None
+    authorities[1]._update()
+    assert authorities[1].held_until(SHARD) is not None
