--- a/cranberrywick/reports/__init__.py
+++ b/cranberrywick/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Reports for operators."""
+"""Reports for operators: error budgets, losses and latency."""
--- a/cranberrywick/reports/burn.py
+++ b/cranberrywick/reports/burn.py
@@ -1,23 +1,25 @@
-"""How fast each class of work spends its error budget, from counts in time buckets.
-
-The budget is the share of requests that may miss a target, one less the class's
-``attainment``. A burn rate of 1 spends it exactly; 14.4 for an hour spends 2 % of a
-month's budget. Two windows together tell a passing spike from a lasting fault:
-the short one says that it still goes on, the long one that it matters.
-
-Load pattern: a few requests a minute for one class and thousands a second for
-another, seen by daemons that start and vanish. Without buckets of bounded number a
-busy daemon would keep every request; with one average since the start, an hour of
-misses would drown in the days before.
-
-Grounds for the figures: the windows are the pairs usual for burn alerts (5 minutes
-with 1 hour, 30 minutes with 6 hours, 3 days for slow leaks). Fine buckets of 30
-seconds make the shortest window wrong by a tenth at most; coarse ones of 15 minutes
-make 3 days wrong by a three-hundredth. Both rings together hold 1,010 buckets; with
-three targets, two counts of 8 bytes each and the bucket's number a class takes 60 KB
-(`sys.getsizeof`).
-
-Pure: no clock, no lock; times are seconds on any one clock that does not go back.
+"""Burn rate of each class's error budget, from request counts in time buckets.
+
+The error budget is the share of requests that may miss a target: one minus the
+class's ``attainment``. A burn rate of 1 spends the budget exactly; a burn rate of
+14.4 for an hour spends 2 % of a 30-day budget. An alert compares two windows, which
+separates a short spike from a lasting fault: the short window shows that the fault
+is still going on, the long window that it costs a relevant part of the budget.
+
+Load pattern: one class gets a few requests a minute and another thousands a second,
+on daemons that start and stop at any time. Without a bounded number of buckets, a
+busy daemon would have to store every request. With a single average since the start
+of the daemon, an hour of misses would hardly change the average of many days.
+
+Choice of the figures: the windows are the usual pairs for burn-rate alerts (5
+minutes with 1 hour, 30 minutes with 6 hours, 3 days for slow leaks). Fine buckets of
+30 seconds limit the error of the 5-minute window to a tenth of its length; coarse
+buckets of 15 minutes limit that of the 3-day window to a three-hundredth. The two
+ring buffers together hold 1,010 buckets; with three objectives, two 8-byte counts
+for each and the bucket's number, a class takes 60 KB (`sys.getsizeof`).
+
+The module reads no clock and takes no lock. Times are seconds on any one monotonic
+clock, which the caller passes in.
 """
 
 import math
@@ -33,11 +35,11 @@
     "STEP_SECONDS",
     "WINDOWS_SECONDS",
     "Alert",
-    "BurnLog",
+    "BurnCounters",
     "Counts",
     "EndedRequest",
     "Objective",
-    "alert",
+    "alert_level",
     "burn_rate",
 ]
 
@@ -52,22 +54,22 @@
 FINE_BUCKETS = 720
 COARSE_BUCKET_SECONDS = 900.0
 COARSE_BUCKETS = 288
-# The course over time that plots show: the last six hours.
+# Length of a step in plots over time, in seconds, and the number of steps: 6 hours.
 STEP_SECONDS = 300.0
 STEP_COUNT = 72
 
 
-# A long window, the short one that must agree with it, and the burn rate of both:
-# 2 % of a 30-day budget in an hour, 5 % in six hours, 10 % in three days.
+# Rules of a long window, a short window and the burn rate that both must reach. These
+# rates spend 2 % of a 30-day budget in 1 hour, 5 % in 6 hours, 10 % in 3 days.
 PAGE_RULES = (("1h", "5m", 14.4), ("6h", "30m", 6.0))
 TICKET_RULES = (("3d", "6h", 1.0),)
-# Fewer requests than this in the long window tell nothing: at an attainment of
-# 0.95 one miss in 20 is just the budget.
-MIN_REQUESTS = 20
+# Fewest requests in the long window that can raise an alert. At an attainment of
+# 0.95, a single miss among 20 requests already spends the budget exactly.
+MIN_REQUESTS_FOR_ALERT = 20
 
 
 class Alert(StrEnum):
-    """How soon an operator should look at a burn."""
+    """How urgently an operator should look at a burn rate."""
 
     NONE = "none"
     TICKET = "ticket"
@@ -75,7 +77,7 @@
 
 
 class Objective(IntEnum):
-    """What a class promises; the value is the place of its counts in a bucket."""
+    """A target of a class; the value is the index of its counts within a bucket."""
 
     FIRST_TOKEN = 0
     BETWEEN_TOKENS = 1
@@ -83,30 +85,31 @@
 
     @property
     def label(self) -> str:
-        """The name in reports."""
+        """The objective's name in reports."""
         return self.name.lower()
 
 
 class Counts(NamedTuple):
-    """Requests that met a target and requests that missed it."""
+    """Numbers of requests that met a target and that missed it."""
 
     good: int
     bad: int
 
     def plus(self, other: "Counts") -> "Counts":
-        """Return the sum of both."""
+        """Return the sum of both pairs of counts."""
         return Counts(self.good + other.good, self.bad + other.bad)
 
 
 class EndedRequest(NamedTuple):
-    """What a request that was not the caller's own fault came to.
-
-    ``completed_seconds`` is the time from arrival to the end of a whole answer,
-    None when the request was refused, failed or timed out: a refusal spends the
-    budget too, or a daemon that refuses everything would look perfect.
-    ``first_token_seconds`` is None for a refusal, which waited for no token, and
-    infinite for a failure before the first one. ``gaps`` counts the times between
-    events, ``late_gaps`` those above the target.
+    """The result of a request that did not fail through the caller's own fault.
+
+    ``completed_seconds`` is the time from arrival to the end of a complete answer,
+    None when the request was refused, failed or timed out. A refusal spends the
+    budget too; otherwise a daemon that refuses everything would seem to meet all
+    targets. ``first_token_seconds`` is None for a refusal, which never reached the
+    wait for a token, and infinite for a failure before the first token. ``gaps`` is
+    the number of gaps between events of the stream, ``late_gaps`` the number of
+    those above the target.
     """
 
     class_name: str
@@ -117,10 +120,10 @@
 
 
 def burn_rate(counts: Counts, attainment: float) -> float | None:
-    """Return how many times faster than allowed the budget is spent.
+    """Return how many times faster than allowed the error budget is spent.
 
-    None when nothing was counted, infinite when the class allows no miss and there
-    was one.
+    Return None when no request was counted, and infinity when the class allows no
+    miss and there was one.
 
     >>> burn_rate(Counts(good=90, bad=10), attainment=0.95)
     2.0
@@ -134,13 +137,13 @@
     return round(counts.bad / total / budget, 3)
 
 
-def alert(counts_by_window: Mapping[str, Counts], attainment: float) -> Alert:
-    """Return how soon to look, from the counts of every window."""
+def alert_level(counts_by_window: Mapping[str, Counts], attainment: float) -> Alert:
+    """Return the most urgent alert whose rule matches the counts of the windows."""
 
     def fires(rule: tuple[str, str, float]) -> bool:
         long_window, short_window, limit = rule
         long_counts = counts_by_window[long_window]
-        if long_counts.good + long_counts.bad < MIN_REQUESTS:
+        if long_counts.good + long_counts.bad < MIN_REQUESTS_FOR_ALERT:
             return False
         rates = (
             burn_rate(long_counts, attainment),
@@ -155,8 +158,8 @@
     return Alert.NONE
 
 
-class BurnLog:
-    """Counts of one daemon, by class, objective and time."""
+class BurnCounters:
+    """Request counts of one daemon, by class, objective and time."""
 
     def __init__(self, started_at: float):
         self._started_at = started_at
@@ -165,14 +168,15 @@
 
     @property
     def targets_by_class(self) -> Mapping[str, ClassTargets]:
-        """The targets in force."""
+        """The classes' targets in force."""
         return self._targets_by_class
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
-        """Replace the targets; a class that vanishes loses its counts.
+        """Replace the targets; the counts of a class that was removed are dropped.
 
-        Counts made under earlier targets stay, for they tell what was promised
-        when the request ran. The classes in force bound the memory.
+        Counts made under earlier targets stay: a request is judged by the targets
+        that were in force when it ended. Memory is bounded by the number of classes
+        in force.
         """
         self._targets_by_class = dict(targets_by_class)
         for class_name in list(self._history_by_class):
@@ -180,7 +184,7 @@
                 del self._history_by_class[class_name]
 
     def add(self, request: EndedRequest, now: float) -> None:
-        """Count a request that ended at ``now``; an unknown class is left out."""
+        """Count a request that ended at ``now``; ignore one of an unknown class."""
         targets = self._targets_by_class.get(request.class_name)
         if targets is None:
             return
@@ -188,24 +192,24 @@
         if history is None:
             history = _ClassHistory()
             self._history_by_class[request.class_name] = history
-        for objective, met in _judge(request, targets):
+        for objective, met in _judge_objectives(request, targets):
             history.add(objective, met, now)
 
     def observed_seconds(self, window_seconds: float, now: float) -> float:
-        """Return how much of the window this daemon has lived through."""
+        """Return for how many seconds of the window this daemon has been running."""
         return min(window_seconds, now - self._started_at)
 
     def counts(
         self, class_name: str, objective: Objective, window_seconds: float, now: float
     ) -> Counts:
-        """Return the counts of the window that ends at ``now``."""
+        """Return the counts of a class in the window that ends at ``now``."""
         history = self._history_by_class.get(class_name)
         if history is None:
             return Counts(0, 0)
         return history.counts(objective, now - window_seconds, now)
 
     def steps(self, class_name: str, objective: Objective, now: float) -> list[Counts]:
-        """Return the counts of the last `STEP_COUNT` steps, oldest first."""
+        """Return the counts of the `STEP_COUNT` steps up to ``now``, oldest first."""
         history = self._history_by_class.get(class_name)
         if history is None:
             return [Counts(0, 0)] * STEP_COUNT
@@ -213,79 +217,81 @@
         return [history.counts(objective, end - STEP_SECONDS, end) for end in ends]
 
 
-def _judge(
+def _judge_objectives(
     request: EndedRequest, targets: ClassTargets
 ) -> list[tuple[Objective, bool]]:
-    """Return which objectives the request counts for, and whether it met them.
+    """Return which objectives the request counts for, and whether it met each.
 
-    Between tokens, ``attainment`` is asked of each stream's own gaps: a stream
-    meets the target when that share of its gaps does. A mean would hide stalls,
-    and the longest gap alone would condemn every long answer.
+    For the gaps between tokens, ``attainment`` also applies within a stream: the
+    stream meets the target when that share of its gaps does. The mean gap would hide
+    stalls, and judging by the longest gap alone would make nearly every long answer
+    a miss.
     """
     completed = request.completed_seconds
-    in_time = completed is not None and completed <= targets.completion_seconds
-    verdicts = [(Objective.COMPLETION, in_time)]
+    done_in_time = completed is not None and completed <= targets.completion_seconds
+    results = [(Objective.COMPLETION, done_in_time)]
     if request.first_token_seconds is not None:
-        prompt = request.first_token_seconds <= targets.first_token_seconds
-        verdicts.append((Objective.FIRST_TOKEN, prompt))
+        first_token_in_time = request.first_token_seconds <= targets.first_token_seconds
+        results.append((Objective.FIRST_TOKEN, first_token_in_time))
     if request.gaps:
         allowed = (1.0 - targets.attainment) * request.gaps
-        verdicts.append((Objective.BETWEEN_TOKENS, request.late_gaps <= allowed))
-    return verdicts
+        results.append((Objective.BETWEEN_TOKENS, request.late_gaps <= allowed))
+    return results
 
 
 class _ClassHistory:
-    """A class's counts, fine for the windows up to six hours, coarse beyond."""
+    """Counts of one class: fine buckets for up to six hours, coarse ones for longer."""
 
     def __init__(self):
-        self._fine = _Ring(FINE_BUCKET_SECONDS, FINE_BUCKETS)
-        self._coarse = _Ring(COARSE_BUCKET_SECONDS, COARSE_BUCKETS)
+        self._fine = _RingBuffer(FINE_BUCKET_SECONDS, FINE_BUCKETS)
+        self._coarse = _RingBuffer(COARSE_BUCKET_SECONDS, COARSE_BUCKETS)
 
     def add(self, objective: Objective, met: bool, now: float) -> None:
-        """Count one verdict."""
+        """Count one result."""
         self._fine.add(objective, met, now)
         self._coarse.add(objective, met, now)
 
     def counts(self, objective: Objective, after: float, until: float) -> Counts:
-        """Return the counts between two times."""
-        fits = until - after <= FINE_BUCKET_SECONDS * FINE_BUCKETS
-        ring = self._fine if fits else self._coarse
-        return ring.counts(objective, after, until)
+        """Return the counts between two times, in seconds on the caller's clock."""
+        fits_fine_buckets = until - after <= FINE_BUCKET_SECONDS * FINE_BUCKETS
+        ring_buffer = self._fine if fits_fine_buckets else self._coarse
+        return ring_buffer.counts(objective, after, until)
 
 
-class _Ring:
-    """Counts in a fixed number of time buckets, the oldest overwritten."""
+class _RingBuffer:
+    """Ring buffer of counts in time buckets; the oldest bucket is overwritten."""
 
     _FIELDS = 2 * len(Objective)
 
     def __init__(self, bucket_seconds: float, buckets: int):
         self._bucket_seconds = bucket_seconds
-        # One more than the window has: it begins in the middle of a bucket.
-        self._size = buckets + 1
-        self._counts = array("Q", bytes(8 * self._FIELDS * self._size))
-        # Which bucket of time each place holds; a place is cleared when reused,
-        # so that a quiet daemon does not report the counts of last week.
-        self._number_by_place = array("q", [-1] * self._size)
+        # One more than the window's length, as the window may begin within a bucket.
+        self._slot_count = buckets + 1
+        self._counts = array("Q", bytes(8 * self._FIELDS * self._slot_count))
+        # Number of the time bucket in each slot; -1 if the slot is empty. A slot whose
+        # number is not the wanted one is skipped, so that a daemon without requests
+        # does not report the counts of last week.
+        self._bucket_number_by_slot = array("q", [-1] * self._slot_count)
 
     def add(self, objective: Objective, met: bool, now: float) -> None:
-        """Count one verdict in the bucket of ``now``."""
-        number = int(now // self._bucket_seconds)
-        place = number % self._size
-        start = place * self._FIELDS
-        if self._number_by_place[place] != number:
-            self._number_by_place[place] = number
+        """Count one result in the bucket that contains ``now``."""
+        bucket_number = int(now // self._bucket_seconds)
+        slot = bucket_number % self._slot_count
+        start = slot * self._FIELDS
+        if self._bucket_number_by_slot[slot] != bucket_number:
+            self._bucket_number_by_slot[slot] = bucket_number
             self._counts[start : start + self._FIELDS] = array("Q", [0] * self._FIELDS)
         self._counts[start + 2 * objective + (0 if met else 1)] += 1
 
     def counts(self, objective: Objective, after: float, until: float) -> Counts:
-        """Sum the buckets that end after ``after`` and no later than ``until``'s."""
+        """Return the sum of the buckets after that of ``after`` up to ``until``'s."""
         first = int(after // self._bucket_seconds) + 1
         last = int(until // self._bucket_seconds)
         good = bad = 0
-        for number in range(max(first, last - self._size + 1), last + 1):
-            place = number % self._size
-            if self._number_by_place[place] == number:
-                start = place * self._FIELDS + 2 * objective
+        for bucket_number in range(max(first, last - self._slot_count + 1), last + 1):
+            slot = bucket_number % self._slot_count
+            if self._bucket_number_by_slot[slot] == bucket_number:
+                start = slot * self._FIELDS + 2 * objective
                 good += self._counts[start]
                 bad += self._counts[start + 1]
         return Counts(good, bad)
--- a/cranberrywick/reports/fleet.py
+++ b/cranberrywick/reports/fleet.py
@@ -1,4 +1,4 @@
-"""One burn report made from the answers of many daemons."""
+"""Merge the burn counts of all daemons into one report for the fleet."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -9,7 +9,7 @@
     WINDOWS_SECONDS,
     Counts,
     Objective,
-    alert,
+    alert_level,
     burn_rate,
 )
 from cranberrywick.reports.recorder import BurnAnswer, ClassAnswer
@@ -18,17 +18,17 @@
 
 
 class SilentDaemon(NamedTuple):
-    """A daemon that gave no usable answer, and why."""
+    """A daemon that gave no usable answer, and the reason."""
 
     address: str
     reason: str
 
 
 class WindowReport(TypedDict):
-    """One objective over one window; ``burn`` is None when nothing was counted.
+    """One objective over one window; ``burn`` is None when no request was counted.
 
-    An infinite burn, for a class that allows no miss, is the string "infinite",
-    for JSON has no number for it.
+    An infinite burn rate, of a class that allows no miss, is written as the string
+    "infinite", because JSON has no number for it.
     """
 
     good: int
@@ -37,7 +37,7 @@
 
 
 class ClassReport(TypedDict):
-    """One class: windows and steps are keyed by the objective's name."""
+    """One class; alerts, windows and steps are keyed by the objective's label."""
 
     attainment: float
     targets_seconds: dict[str, float]
@@ -47,10 +47,11 @@
 
 
 class BurnReport(TypedDict):
-    """The whole fleet.
+    """The burn of the whole fleet.
 
-    ``coverage`` is the share of each window that the daemons which answered have
-    lived through: those that were replaced took their counts with them.
+    ``coverage`` is, by window, the share of it during which the daemons that
+    answered have been running. It is below 1 after a daemon was replaced, because
+    the counts of the earlier one are lost.
     """
 
     daemons: list[str]
@@ -61,10 +62,11 @@
 
 
 def merge(answers: Sequence[BurnAnswer], silent: Iterable[SilentDaemon]) -> BurnReport:
-    """Add up the daemons' counts.
+    """Return a report with the sum of all daemons' counts.
 
-    Targets and the list of classes come from the newest configuration among them;
-    for the seconds in which a change spreads, older daemons count by older targets.
+    The targets and the list of classes come from the newest configuration among the
+    answers. During the seconds that a change takes to reach all daemons, some of
+    them still count by the older targets.
     """
     versions = sorted({answer["configuration_version"] for answer in answers})
     newest = max(
@@ -77,7 +79,9 @@
         configuration_versions=versions,
         coverage={window: _coverage(answers, window) for window in WINDOWS_SECONDS},
         classes={
-            name: _merge_class(newest["classes"][name], _answers_for(name, answers))
+            name: _merge_class(
+                newest["classes"][name], _answers_for_class(name, answers)
+            )
             for name in class_names
         },
     )
@@ -90,14 +94,14 @@
     return round(observed / (WINDOWS_SECONDS[window] * len(answers)), 4)
 
 
-def _answers_for(name: str, answers: Sequence[BurnAnswer]) -> list[ClassAnswer]:
+def _answers_for_class(name: str, answers: Sequence[BurnAnswer]) -> list[ClassAnswer]:
     return [answer["classes"][name] for answer in answers if name in answer["classes"]]
 
 
 def _merge_class(newest: ClassAnswer, answers: list[ClassAnswer]) -> ClassReport:
     counts = {
         objective.label: {
-            window: _total(
+            window: _sum_counts(
                 answer["windows"][window][objective.label] for answer in answers
             )
             for window in WINDOWS_SECONDS
@@ -109,7 +113,7 @@
         attainment=attainment,
         targets_seconds=newest["targets_seconds"],
         alerts={
-            label: alert(by_window, attainment).value
+            label: alert_level(by_window, attainment).value
             for label, by_window in counts.items()
         },
         windows={
@@ -121,7 +125,11 @@
         },
         steps={
             objective.label: [
-                [*_total(answer["steps"][objective.label][step] for answer in answers)]
+                [
+                    *_sum_counts(
+                        answer["steps"][objective.label][step] for answer in answers
+                    )
+                ]
                 for step in range(STEP_COUNT)
             ]
             for objective in Objective
@@ -129,7 +137,7 @@
     )
 
 
-def _total(pairs: Iterable[Sequence[int]]) -> Counts:
+def _sum_counts(pairs: Iterable[Sequence[int]]) -> Counts:
     total = Counts(0, 0)
     for good, bad in pairs:
         total = total.plus(Counts(good, bad))
--- a/cranberrywick/reports/recorder.py
+++ b/cranberrywick/reports/recorder.py
@@ -1,4 +1,4 @@
-"""A daemon's own record of how its classes meet their targets.
+"""A daemon's own counts of how requests of each class met their targets.
 
 >>> recorder = BurnRecorder("e1")
 >>> recorder.set_targets(targets_by_class, configuration_version=3)
@@ -15,7 +15,7 @@
 from cranberrywick.model import ClassTargets
 from cranberrywick.reports.burn import (
     WINDOWS_SECONDS,
-    BurnLog,
+    BurnCounters,
     EndedRequest,
     Objective,
 )
@@ -24,7 +24,7 @@
 
 
 class ClassAnswer(TypedDict):
-    """One class of a daemon's answer; a pair of counts is ``[good, bad]``."""
+    """Counts of one class in a daemon's answer; each pair is ``[good, bad]``."""
 
     attainment: float
     targets_seconds: dict[str, float]
@@ -33,10 +33,12 @@
 
 
 class BurnAnswer(TypedDict):
-    """What ``GET /operator/v1/burn`` answers.
+    """The body of the answer to ``GET /operator/v1/burn``.
 
-    ``addresses`` are all daemons that this one knows, also those that callers are
-    not sent to: a daemon in a failure domain that was taken out has counts too.
+    ``addresses`` lists all daemons in this one's member list, including those that
+    callers are not sent to: a daemon in a failure domain that was taken out of
+    service has counts too. ``observed_seconds`` is, by window, for how many
+    seconds of it the daemon has been running.
     """
 
     daemon_id: str
@@ -47,9 +49,10 @@
 
 
 class BurnRecorder:
-    """A `BurnLog` that request threads share.
+    """Burn counters that are safe to share between request threads.
 
-    ``addresses`` returns the daemons known now, each as ``host:port``.
+    ``addresses`` returns the addresses of all daemons in the member list, each as
+    ``host:port``; ``clock`` returns seconds on a monotonic clock.
     """
 
     def __init__(
@@ -62,23 +65,23 @@
         self._addresses = addresses
         self._clock = clock
         self._configuration_version = 0
-        self._log = BurnLog(clock())
-        # Held for some counting only, never across a call to anything else.
+        self._counters = BurnCounters(clock())
+        # Held only while counters are read or written, never during other work.
         self._lock = threading.Lock()
 
     def set_targets(
         self, targets_by_class: Mapping[str, ClassTargets], configuration_version: int
     ) -> None:
-        """Replace the classes' targets; an older version than the last is ignored."""
+        """Replace the classes' targets, unless the version is older than the last."""
         with self._lock:
             if configuration_version >= self._configuration_version:
                 self._configuration_version = configuration_version
-                self._log.set_targets(targets_by_class)
+                self._counters.set_targets(targets_by_class)
 
     def add(self, request: EndedRequest) -> None:
-        """Count a request that ended now."""
+        """Count a request that has just ended."""
         with self._lock:
-            self._log.add(request, self._clock())
+            self._counters.add(request, self._clock())
 
     def answer(self) -> BurnAnswer:
         """Return this daemon's counts, for ``GET /operator/v1/burn``."""
@@ -90,12 +93,12 @@
                 addresses=addresses,
                 configuration_version=self._configuration_version,
                 observed_seconds={
-                    name: round(self._log.observed_seconds(seconds, now), 1)
+                    name: round(self._counters.observed_seconds(seconds, now), 1)
                     for name, seconds in WINDOWS_SECONDS.items()
                 },
                 classes={
                     name: self._class_answer(name, targets, now)
-                    for name, targets in self._log.targets_by_class.items()
+                    for name, targets in self._counters.targets_by_class.items()
                 },
             )
 
@@ -111,13 +114,17 @@
             },
             windows={
                 window: {
-                    objective.label: [*self._log.counts(name, objective, seconds, now)]
+                    objective.label: [
+                        *self._counters.counts(name, objective, seconds, now)
+                    ]
                     for objective in Objective
                 }
                 for window, seconds in WINDOWS_SECONDS.items()
             },
             steps={
-                objective.label: [[*c] for c in self._log.steps(name, objective, now)]
+                objective.label: [
+                    [*c] for c in self._counters.steps(name, objective, now)
+                ]
                 for objective in Objective
             },
         )
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn of the error budget: counting, windows, and what daemons answer."""
+"""Burn of the error budget: counters, windows and the answer of a daemon."""
 
 import math
 
@@ -8,7 +8,7 @@
 from cranberrywick.reports.burn import (
     STEP_COUNT,
     WINDOWS_SECONDS,
-    BurnLog,
+    BurnCounters,
     Counts,
     EndedRequest,
     Objective,
@@ -28,14 +28,14 @@
 
 
 @pytest.fixture
-def log():
-    log = BurnLog(started_at=0.0)
-    log.set_targets({"grants": GRANTS})
-    return log
+def burn():
+    burn = BurnCounters(started_at=0.0)
+    burn.set_targets({"grants": GRANTS})
+    return burn
 
 
-def counts(log, window, now, objective=Objective.COMPLETION):
-    return log.counts("grants", objective, WINDOWS_SECONDS[window], now)
+def counts(burn, window, now, objective=Objective.COMPLETION):
+    return burn.counts("grants", objective, WINDOWS_SECONDS[window], now)
 
 
 @pytest.mark.parametrize(
@@ -54,63 +54,63 @@
 
 
 @pytest.mark.parametrize("objective", Objective)
-def test_each_objective_is_judged_by_its_target(log, objective):
-    log.add(MET, 10.0)
-    log.add(MISSED, 10.0)
-    assert counts(log, "5m", 10.0, objective) == Counts(1, 1)
+def test_each_objective_is_judged_by_its_target(burn, objective):
+    burn.add(MET, 10.0)
+    burn.add(MISSED, 10.0)
+    assert counts(burn, "5m", 10.0, objective) == Counts(1, 1)
 
 
-def test_refusal_spends_the_completion_budget_only(log):
-    log.add(REFUSED, 10.0)
-    assert counts(log, "5m", 10.0) == Counts(0, 1)
-    assert counts(log, "5m", 10.0, Objective.FIRST_TOKEN) == Counts(0, 0)
+def test_refusal_spends_the_completion_budget_only(burn):
+    burn.add(REFUSED, 10.0)
+    assert counts(burn, "5m", 10.0) == Counts(0, 1)
+    assert counts(burn, "5m", 10.0, Objective.FIRST_TOKEN) == Counts(0, 0)
 
 
-def test_failure_before_the_first_token_misses_it(log):
-    log.add(EndedRequest("grants", None, first_token_seconds=math.inf), 10.0)
-    assert counts(log, "5m", 10.0, Objective.FIRST_TOKEN) == Counts(0, 1)
+def test_failure_before_the_first_token_misses_it(burn):
+    burn.add(EndedRequest("grants", None, first_token_seconds=math.inf), 10.0)
+    assert counts(burn, "5m", 10.0, Objective.FIRST_TOKEN) == Counts(0, 1)
 
 
-def test_old_requests_leave_one_window_after_the_other(log):
-    """An hour of misses ends; the short window is clean before the long one.
+def test_old_requests_leave_the_shorter_windows_first(burn):
+    """After a miss, each window drops it once the miss is older than the window.
 
-    The caller of the report sees the fault as over in 5 minutes, and for 3 days
-    that it cost budget; then nothing is left of it.
+    A reader of the report sees within 5 minutes that the fault is over, and for 3
+    days that it has cost budget.
     """
-    log.add(MISSED, 10.0)
-    assert [counts(log, w, 400.0).bad for w in WINDOWS_SECONDS] == [0, 1, 1, 1, 1]
-    assert [counts(log, w, 30_000.0).bad for w in WINDOWS_SECONDS] == [0, 0, 0, 0, 1]
-    assert [counts(log, w, 300_000.0).bad for w in WINDOWS_SECONDS] == [0, 0, 0, 0, 0]
+    burn.add(MISSED, 10.0)
+    assert [counts(burn, w, 400.0).bad for w in WINDOWS_SECONDS] == [0, 1, 1, 1, 1]
+    assert [counts(burn, w, 30_000.0).bad for w in WINDOWS_SECONDS] == [0, 0, 0, 0, 1]
+    assert [counts(burn, w, 300_000.0).bad for w in WINDOWS_SECONDS] == [0, 0, 0, 0, 0]
 
 
-def test_reused_bucket_forgets_what_it_held(log):
-    lap = 30.0 * 721
-    log.add(MISSED, 15.0)
-    log.add(MET, 15.0 + lap)
-    assert counts(log, "5m", 15.0 + lap) == Counts(1, 0)
+def test_reused_bucket_drops_its_old_counts(burn):
+    ring_seconds = 30.0 * 721
+    burn.add(MISSED, 15.0)
+    burn.add(MET, 15.0 + ring_seconds)
+    assert counts(burn, "5m", 15.0 + ring_seconds) == Counts(1, 0)
 
 
-def test_steps_part_the_time_without_overlap(log):
+def test_steps_do_not_overlap(burn):
     for minute in range(0, 360):
-        log.add(MET, 60.0 * minute)
-    steps = log.steps("grants", Objective.COMPLETION, now=60.0 * 359)
+        burn.add(MET, 60.0 * minute)
+    steps = burn.steps("grants", Objective.COMPLETION, now=60.0 * 359)
     assert len(steps) == STEP_COUNT
     assert sum(step.good for step in steps) == 360
 
 
-def test_unknown_class_takes_no_memory(log):
-    log.add(EndedRequest("nonsense", 1.0), 10.0)
-    assert log.counts("nonsense", Objective.COMPLETION, 300.0, 10.0) == Counts(0, 0)
+def test_unknown_class_is_not_counted(burn):
+    burn.add(EndedRequest("nonsense", 1.0), 10.0)
+    assert burn.counts("nonsense", Objective.COMPLETION, 300.0, 10.0) == Counts(0, 0)
 
 
-def test_removed_class_loses_its_counts(log):
-    log.add(MISSED, 10.0)
-    log.set_targets({})
-    log.set_targets({"grants": GRANTS})
-    assert counts(log, "5m", 10.0) == Counts(0, 0)
+def test_removed_class_loses_its_counts(burn):
+    burn.add(MISSED, 10.0)
+    burn.set_targets({})
+    burn.set_targets({"grants": GRANTS})
+    assert counts(burn, "5m", 10.0) == Counts(0, 0)
 
 
-def test_answer_tells_how_much_of_a_window_was_seen():
+def test_answer_states_the_observed_part_of_a_window():
     now = [50.0]
     recorder = BurnRecorder("e1", clock=lambda: now[0])
     recorder.set_targets({"grants": GRANTS}, configuration_version=4)
