--- a/cranberrywick/cli/report.py
+++ b/cranberrywick/cli/report.py
@@ -12,7 +12,7 @@
 from cranberrywick.reports.gather import gather_burn
 from cranberrywick.reports.latency import latency_of
 from cranberrywick.reports.latency_table import render_latency
-from cranberrywick.reports.log_lines import LogLine, Unreadable, read_lines
+from cranberrywick.reports.log_lines import LogLine, UnreadableLine, read_lines
 from cranberrywick.reports.loss_table import render_losses, write_loss_plot
 from cranberrywick.reports.losses import Weights, losses_of
 from cranberrywick.reports.page import render_page
@@ -177,9 +177,9 @@
 
 def _read_all(
     logs: Iterable[Iterable[str]],
-) -> tuple[list[LogLine], list[Unreadable]]:
+) -> tuple[list[LogLine], list[UnreadableLine]]:
     lines: list[LogLine] = []
-    unreadable: list[Unreadable] = []
+    unreadable: list[UnreadableLine] = []
     for log in logs:
         for line in read_lines(getattr(log, "name", "-"), log):
             if isinstance(line, LogLine):
--- a/cranberrywick/reports/gather.py
+++ b/cranberrywick/reports/gather.py
@@ -1,4 +1,4 @@
-"""Ask every daemon for its burn counts."""
+"""Fetch the burn counts of every daemon and merge them into one report."""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -18,13 +18,15 @@
 __all__ = ["gather_burn"]
 
 BURN_PATH = "/operator/v1/burn"
-# A daemon answers in milliseconds; one that takes longer is reported as silent.
+# A daemon usually answers within milliseconds; one that exceeds these timeouts, in
+# seconds, is reported as silent.
 CONNECT_TIMEOUT_SECONDS = 2.0
 READ_TIMEOUT_SECONDS = 5.0
-# At the design size (320 daemons) the silent ones must not add up to minutes.
+# Most requests at once. At the design size of 320 daemons, waiting for the timeouts of
+# silent daemons one after another would take minutes.
 MAX_PARALLEL = 32
 
-_COUNTS = {
+_COUNTS_SCHEMA = {
     "type": "array",
     "items": {"type": "integer", "minimum": 0},
     "minItems": 2,
@@ -32,7 +34,7 @@
 }
 
 
-def _object_of(names: Iterable[str], schema: dict[str, Any]) -> dict[str, Any]:
+def _object_schema(names: Iterable[str], schema: dict[str, Any]) -> dict[str, Any]:
     names = list(names)
     return {
         "type": "object",
@@ -41,32 +43,34 @@
     }
 
 
-_OBJECTIVES = [objective.label for objective in Objective]
-_SECONDS = {"type": "number", "minimum": 0}
-_STEPS = {
+_OBJECTIVE_LABELS = [objective.label for objective in Objective]
+_SECONDS_SCHEMA = {"type": "number", "minimum": 0}
+_STEPS_SCHEMA = {
     "type": "array",
-    "items": _COUNTS,
+    "items": _COUNTS_SCHEMA,
     "minItems": STEP_COUNT,
     "maxItems": STEP_COUNT,
 }
-_CLASS_ANSWER = {
+_CLASS_ANSWER_SCHEMA = {
     "type": "object",
     "properties": {
         "attainment": {"type": "number", "minimum": 0, "maximum": 1},
-        "targets_seconds": _object_of(_OBJECTIVES, _SECONDS),
-        "windows": _object_of(WINDOWS_SECONDS, _object_of(_OBJECTIVES, _COUNTS)),
-        "steps": _object_of(_OBJECTIVES, _STEPS),
+        "targets_seconds": _object_schema(_OBJECTIVE_LABELS, _SECONDS_SCHEMA),
+        "windows": _object_schema(
+            WINDOWS_SECONDS, _object_schema(_OBJECTIVE_LABELS, _COUNTS_SCHEMA)
+        ),
+        "steps": _object_schema(_OBJECTIVE_LABELS, _STEPS_SCHEMA),
     },
     "required": ["attainment", "targets_seconds", "windows", "steps"],
 }
-_BURN_ANSWER = {
+_BURN_ANSWER_SCHEMA = {
     "type": "object",
     "properties": {
         "daemon_id": {"type": "string"},
         "addresses": {"type": "array", "items": {"type": "string"}},
         "configuration_version": {"type": "integer"},
-        "observed_seconds": _object_of(WINDOWS_SECONDS, _SECONDS),
-        "classes": {"type": "object", "additionalProperties": _CLASS_ANSWER},
+        "observed_seconds": _object_schema(WINDOWS_SECONDS, _SECONDS_SCHEMA),
+        "classes": {"type": "object", "additionalProperties": _CLASS_ANSWER_SCHEMA},
     },
     "required": [
         *("daemon_id", "addresses", "configuration_version"),
@@ -76,11 +80,12 @@
 
 
 def gather_burn(entry_urls: Sequence[str], key: str) -> BurnReport:
-    """Return the burn of the fleet that ``entry_urls`` belong to.
+    """Return the burn report of the fleet that ``entry_urls`` belong to.
 
-    The first entry that answers names the others; those of them that do not answer
-    are named in the report. Raises `AnswerLost` or `Unauthorised` when no entry
-    answers.
+    The first entry that gives a usable answer lists the addresses of the other
+    daemons; the report names those of them that do not answer. Raise `AnswerLost`
+    when no entry gives a usable answer, and `Unauthorised` when an entry rejects
+    the key.
     """
     with PoolManager(
         num_pools=MAX_PARALLEL,
@@ -88,13 +93,16 @@
         timeout=Timeout(connect=CONNECT_TIMEOUT_SECONDS, read=READ_TIMEOUT_SECONDS),
         headers={"Authorization": f"Bearer {key}"},
     ) as pool:
-        entry_url, first = _first_answer(pool, entry_urls)
+        entry_url, first_answer = _fetch_from_first_entry(pool, entry_urls)
         own_address = parse_url(entry_url).netloc
-        others = sorted(set(first["addresses"]) - {own_address})
+        others = sorted(set(first_answer["addresses"]) - {own_address})
         with ThreadPoolExecutor(MAX_PARALLEL) as workers:
-            results = list(workers.map(lambda a: _ask_daemon(pool, a), others))
-    # An entry can be asked at another address than the one it is known by.
-    answers_by_id = {first["daemon_id"]: first}
+            results = list(
+                workers.map(lambda address: _fetch_from_daemon(pool, address), others)
+            )
+    # The first entry may also be in its own list, under another address than the one
+    # it was asked at; keying by id counts it once.
+    answers_by_id = {first_answer["daemon_id"]: first_answer}
     silent = []
     for result in results:
         if isinstance(result, SilentDaemon):
@@ -104,26 +112,26 @@
     return merge(list(answers_by_id.values()), silent)
 
 
-def _first_answer(
+def _fetch_from_first_entry(
     pool: PoolManager, entry_urls: Sequence[str]
 ) -> tuple[str, BurnAnswer]:
     *others, last = entry_urls
     for entry_url in others:
         try:
-            return entry_url, _get_burn(pool, entry_url.rstrip("/"))
+            return entry_url, _fetch_burn(pool, entry_url.rstrip("/"))
         except AnswerLost:
             continue
-    return last, _get_burn(pool, last.rstrip("/"))
+    return last, _fetch_burn(pool, last.rstrip("/"))
 
 
-def _ask_daemon(pool: PoolManager, address: str) -> BurnAnswer | SilentDaemon:
+def _fetch_from_daemon(pool: PoolManager, address: str) -> BurnAnswer | SilentDaemon:
     try:
-        return _get_burn(pool, f"http://{address}")
+        return _fetch_burn(pool, f"http://{address}")
     except CranberrywickError as error:
         return SilentDaemon(address, f"{error.type}: {error.message}")
 
 
-def _get_burn(pool: PoolManager, base_url: str) -> BurnAnswer:
+def _fetch_burn(pool: PoolManager, base_url: str) -> BurnAnswer:
     url = f"{base_url}{BURN_PATH}"
     try:
         response = pool.request("GET", url, redirect=False)
@@ -137,7 +145,11 @@
         answer = json.loads(response.data)
     except ValueError as error:
         raise AnswerLost(f"{url}: the answer is not JSON") from error
-    fault = next(Draft202012Validator(_BURN_ANSWER).iter_errors(answer), None)
-    if fault is not None:
-        raise AnswerLost(f"{url}: {fault.json_path} in the answer is not as expected")
+    schema_error = next(
+        Draft202012Validator(_BURN_ANSWER_SCHEMA).iter_errors(answer), None
+    )
+    if schema_error is not None:
+        raise AnswerLost(
+            f"{url}: {schema_error.json_path} of the answer does not match the schema"
+        )
     return answer
--- a/cranberrywick/reports/latency.py
+++ b/cranberrywick/reports/latency.py
@@ -1,8 +1,9 @@
-"""How soon requests were answered, from daemons' logs.
+"""Latency of answered requests, read from daemons' logs.
 
-First tokens are grouped by the length of the prompt, and those of short prompts also by
-how much long work arrived in the same second: what short requests lose beside long ones
-shows as the difference. Calls without a prompt are grouped by endpoint.
+First-token latencies are grouped by the length of the prompt. Those of short prompts
+are also grouped by how many tokens of longer prompts arrived in the same second; the
+difference between these two groups shows how much long prompts slow down short ones.
+Calls without a prompt are grouped by endpoint.
 
 >>> report = latency_of(lines)
 >>> report.by_length["under 8,000"].p95
@@ -15,24 +16,26 @@
 from typing import NamedTuple
 
 from cranberrywick.reports.log_lines import LogLine
-from cranberrywick.reports.losses import REQUEST_ENDED, arrived_at
+from cranberrywick.reports.losses import REQUEST_ENDED, arrival_time
 
 __all__ = ["Latency", "LatencyReport", "latency_of"]
 
-# Bounds of prompt lengths, in tokens.
-LENGTHS = {
+# Exclusive upper bound, in tokens, of each group of prompt lengths, by the group's name.
+UPPER_BOUND_BY_LENGTH = {
     "under 8,000": 8_000,
     "8,000 to 30,000": 30_000,
     "30,000 to 100,000": 100_000,
     "100,000 and more": float("inf"),
 }
-SHORT, *LONGER = LENGTHS
+SHORT_LENGTH, *LONGER_LENGTHS = UPPER_BOUND_BY_LENGTH
 
 
 class Latency(NamedTuple):
-    """Seconds to the first token, or of a whole call.
+    """Latencies of a group of requests, in seconds.
 
-    ``late`` counts those that came after their target.
+    They are times from a request's arrival to the first event of its stream, or to
+    the end of a call that is not a stream. ``count`` is the number of requests,
+    ``late`` the number of those answered after their target.
     """
 
     count: int
@@ -43,10 +46,10 @@
 
 
 class LatencyReport(NamedTuple):
-    """First tokens by length, of short prompts by neighbours, and calls by endpoint."""
+    """Latencies by prompt length, of short prompts by long work, and by endpoint."""
 
     by_length: Mapping[str, Latency]
-    short_by_neighbours: Mapping[str, Latency]
+    short_by_long_work: Mapping[str, Latency]
     calls_by_endpoint: Mapping[str, Latency]
 
 
@@ -59,61 +62,78 @@
 
 
 def latency_of(lines: Iterable[LogLine]) -> LatencyReport:
-    """Return how soon the requests of these lines were answered."""
+    """Return the latencies of the requests that these lines describe."""
     ended = (line for line in lines if line.event == REQUEST_ENDED)
-    answers = [answer for answer in map(_answer, ended) if answer is not None]
+    answers = [answer for answer in map(_parse_answer, ended) if answer is not None]
     prompts = [answer for answer in answers if answer.tokens]
     calls = [answer for answer in answers if not answer.tokens]
-    by_length = _grouped((_length(each.tokens), each) for each in prompts)
+    by_length = _latency_by_key(
+        (_length_name(prompt.tokens), prompt) for prompt in prompts
+    )
     return LatencyReport(
-        {name: by_length[name] for name in LENGTHS if name in by_length},
-        _grouped(_short_by_neighbours(prompts)),
-        _grouped((each.endpoint, each) for each in calls),
+        {name: by_length[name] for name in UPPER_BOUND_BY_LENGTH if name in by_length},
+        _latency_by_key(_group_short_by_long_work(prompts)),
+        _latency_by_key((call.endpoint, call) for call in calls),
     )
 
 
-def _answer(line: LogLine) -> _Answer | None:
+def _parse_answer(line: LogLine) -> _Answer | None:
     if line.fields.get("outcome") != "completed" or not line.fields.get("route"):
         return None
-    came = line.number("first_event") or line.number("seconds")
-    if came is None:
+    answered_seconds = line.number("first_event") or line.number("seconds")
+    if answered_seconds is None:
         return None
     return _Answer(
-        int(arrived_at(line)),
+        int(arrival_time(line)),
         line.number("tokens") or 0.0,
         line.fields.get("endpoint", ""),
-        came,
+        answered_seconds,
         line.number("target") or float("inf"),
     )
 
 
-def _length(tokens: float) -> str:
-    return next(name for name, bound in LENGTHS.items() if tokens < bound)
+def _length_name(tokens: float) -> str:
+    return next(name for name, bound in UPPER_BOUND_BY_LENGTH.items() if tokens < bound)
 
 
-def _short_by_neighbours(
+def _group_short_by_long_work(
     prompts: Sequence[_Answer],
 ) -> Iterable[tuple[str, _Answer]]:
-    """Yield short prompts, half of the seconds that have any as the busier ones."""
-    long_tokens: dict[int, float] = defaultdict(float)
-    short = [each for each in prompts if _length(each.tokens) == SHORT]
-    for each in prompts:
-        long_tokens[each.second] += each.tokens * (_length(each.tokens) in LONGER)
-    seconds = sorted({each.second for each in short}, key=long_tokens.__getitem__)
-    busy = set(seconds[len(seconds) // 2 :])
-    for each in short:
-        yield "much long work" if each.second in busy else "little long work", each
-
-
-def _grouped(keyed: Iterable[tuple[Hashable, _Answer]]) -> dict:
-    groups: dict[Hashable, list[_Answer]] = defaultdict(list)
-    for key, answer in keyed:
-        groups[key].append(answer)
-    return {key: _latency(group) for key, group in sorted(groups.items())}
-
-
-def _latency(group: Sequence[_Answer]) -> Latency:
-    seconds = [each.seconds for each in group]
-    cuts = quantiles([*seconds, *seconds], n=100, method="inclusive")
-    late = sum(each.seconds > each.target for each in group)
-    return Latency(len(group), late, cuts[49], cuts[94], cuts[98])
+    """Yield each short prompt with the name of its group.
+
+    The seconds in which short prompts arrived are sorted by the tokens of longer
+    prompts that arrived in the same second; the upper half counts as much long work.
+    """
+    long_tokens_by_second: dict[int, float] = defaultdict(float)
+    short = [
+        answer for answer in prompts if _length_name(answer.tokens) == SHORT_LENGTH
+    ]
+    for answer in prompts:
+        long_tokens_by_second[answer.second] += answer.tokens * (
+            _length_name(answer.tokens) in LONGER_LENGTHS
+        )
+    seconds = sorted(
+        {answer.second for answer in short}, key=long_tokens_by_second.__getitem__
+    )
+    busy_seconds = set(seconds[len(seconds) // 2 :])
+    for answer in short:
+        yield (
+            "much long work" if answer.second in busy_seconds else "little long work",
+            answer,
+        )
+
+
+def _latency_by_key(keyed_answers: Iterable[tuple[Hashable, _Answer]]) -> dict:
+    answers_by_key: dict[Hashable, list[_Answer]] = defaultdict(list)
+    for key, answer in keyed_answers:
+        answers_by_key[key].append(answer)
+    return {key: _summarize(group) for key, group in sorted(answers_by_key.items())}
+
+
+def _summarize(group: Sequence[_Answer]) -> Latency:
+    seconds = [answer.seconds for answer in group]
+    # Values are doubled because quantiles() needs at least two, and a group may hold
+    # only one.
+    percentiles = quantiles([*seconds, *seconds], n=100, method="inclusive")
+    late = sum(answer.seconds > answer.target for answer in group)
+    return Latency(len(group), late, percentiles[49], percentiles[94], percentiles[98])
--- a/cranberrywick/reports/latency_table.py
+++ b/cranberrywick/reports/latency_table.py
@@ -1,19 +1,19 @@
-"""A latency report as text."""
+"""Format a latency report as plain text."""
 
 from collections.abc import Mapping, Sequence
 
 from cranberrywick.reports.latency import Latency, LatencyReport
-from cranberrywick.reports.log_lines import Unreadable
+from cranberrywick.reports.log_lines import UnreadableLine
 from cranberrywick.reports.loss_table import unreadable_lines
 
 __all__ = ["render_latency"]
 
 
-def render_latency(report: LatencyReport, unreadable: Sequence[Unreadable]) -> str:
-    """Return the report as lines, times in seconds."""
+def render_latency(report: LatencyReport, unreadable: Sequence[UnreadableLine]) -> str:
+    """Return the report as lines of text, with times in seconds."""
     tables = {
         "first token by prompt length": report.by_length,
-        "first token of short prompts": report.short_by_neighbours,
+        "first token of short prompts": report.short_by_long_work,
         "calls by endpoint": report.calls_by_endpoint,
     }
     lines: list[str] = []
@@ -24,14 +24,19 @@
 
 
 def _table(title: str, latencies: Mapping[str, Latency]) -> list[str]:
-    head = _row(title, "answers", "late", "p50", "p95", "p99")
-    return [head] + [
-        _row(name, str(each.count), str(each.late), *map(_seconds, each[2:]))
-        for name, each in latencies.items()
+    header = _row(title, "answers", "late", "p50", "p95", "p99")
+    return [header] + [
+        _row(
+            name,
+            str(latency.count),
+            str(latency.late),
+            *map(_format_seconds, latency[2:]),
+        )
+        for name, latency in latencies.items()
     ]
 
 
-def _seconds(value: float) -> str:
+def _format_seconds(value: float) -> str:
     return f"{value:.3f}"
 
 
--- a/cranberrywick/reports/loss_table.py
+++ b/cranberrywick/reports/loss_table.py
@@ -1,42 +1,48 @@
-"""A loss report as text, and as a plot of the time."""
+"""Format a loss report as plain text, and plot the losses over time."""
 
 from collections.abc import Sequence
 from pathlib import Path
 
 from pygal import Config, StackedBar
 
-from cranberrywick.reports.log_lines import Unreadable
-from cranberrywick.reports.losses import Cause, LossReport, Lost
+from cranberrywick.reports.log_lines import UnreadableLine
+from cranberrywick.reports.losses import Cause, LossReport, LossSum
 
 __all__ = ["render_losses", "unreadable_lines", "write_loss_plot"]
 
-# Lines that could not be read are named up to this many.
-MOST_UNREADABLE = 5
+# Most unreadable lines that a report lists.
+MAX_UNREADABLE_LISTED = 5
 SECONDS_BETWEEN_LABELS = 5
 
 
 def render_losses(
-    report: LossReport, unreadable: Sequence[Unreadable], served: float | None
+    report: LossReport, unreadable: Sequence[UnreadableLine], served: float | None
 ) -> str:
-    """Return the report as lines; ``served`` is the share that callers counted."""
+    """Return the report as lines of text.
+
+    ``served`` is the share of the worth, from 0 to 1, that callers counted as served;
+    with it, the text also states the share that was within reach of the daemons.
+    """
     lines = [_row("cause", "requests", "worth", "lost", "examples")]
-    lines += [_lost_row(str(cause), lost) for cause, lost in report.by_cause.items()]
+    lines += [_loss_row(str(cause), lost) for cause, lost in report.by_cause.items()]
     lines += ["", _row("route: cause", "requests", "worth", "lost", "examples")]
     lines += [
-        _lost_row(f"{route}: {cause}", lost)
+        _loss_row(f"{route}: {cause}", lost)
         for (route, cause), lost in report.by_route.items()
         if lost.lost
     ]
-    lines += ["", *_sums(report, served)]
+    lines += ["", *_totals(report, served)]
     lines += unreadable_lines(unreadable)
     return "\n".join(lines) + "\n"
 
 
-def unreadable_lines(unreadable: Sequence[Unreadable]) -> list[str]:
-    """Return what a report says of lines that it could not read."""
+def unreadable_lines(unreadable: Sequence[UnreadableLine]) -> list[str]:
+    """Return the note of a report on unreadable lines, empty if there were none."""
     if not unreadable:
         return []
-    named = ", ".join(f"{u.source}:{u.number}" for u in unreadable[:MOST_UNREADABLE])
+    named = ", ".join(
+        f"{line.source}:{line.number}" for line in unreadable[:MAX_UNREADABLE_LISTED]
+    )
     return [f"lines that hold no event: {len(unreadable)} ({named})"]
 
 
@@ -44,30 +50,30 @@
     return f"{name:<40} {count:>8} {worth:>9} {lost:>9}  {examples}"
 
 
-def _lost_row(name: str, lost: Lost) -> str:
+def _loss_row(name: str, lost: LossSum) -> str:
     examples = " ".join(lost.examples) if lost.lost else ""
     return _row(
         name, str(lost.count), f"{lost.worth:.1f}", f"{lost.lost:.1f}", examples
     )
 
 
-def _sums(report: LossReport, served: float | None) -> list[str]:
+def _totals(report: LossReport, served: float | None) -> list[str]:
     if not report.owed:
-        return ["no request that was allowed"]
+        return ["no request that the service had to answer"]
     share = report.lost / report.owed
     lines = [f"owed {report.owed:.1f}, lost {report.lost:.1f} ({share:.3f})"]
     if served is not None:
-        # What callers lost and no daemon tells of never reached one.
-        bound = min(1.0, served + share)
+        # What callers lost and no daemon logged never reached a daemon.
+        reachable = min(1.0, served + share)
         lines.append(
             f"callers were served {served:.3f}; had all that reached a daemon been "
-            f"on time: {bound:.3f}; never reached one: {1 - bound:.3f}"
+            f"on time: {reachable:.3f}; never reached one: {1 - reachable:.3f}"
         )
     return lines
 
 
 def write_loss_plot(report: LossReport, path: Path) -> None:
-    """Write a plot of what was lost in each second, by cause."""
+    """Write an SVG plot of the worth lost in each second of arrival, by cause."""
     seconds = range(min(report.by_second), max(report.by_second) + 1)
     config = Config(js=[], x_labels_major_every=SECONDS_BETWEEN_LABELS)
     chart = StackedBar(config, title="Worth lost by the second of arrival")
--- a/cranberrywick/reports/losses.py
+++ b/cranberrywick/reports/losses.py
@@ -1,8 +1,9 @@
-"""Where requests were lost: by cause, kind, size and moment, from daemons' logs.
+"""Worth of lost requests by cause, route and second, read from daemons' logs.
 
-Each `request_ended` line says what was foreseen and what came. What was lost is counted
-in worth: a request's share of its route's worth by its size, all of it where there was
-no answer and a part where it came late.
+Each `request_ended` line holds the predicted and the measured times of a request.
+Losses are counted in worth: a request has the worth of its route, scaled by the size
+of its prompt. All of it is lost when there was no whole answer, and a part of it when
+the answer was late or paused for too long.
 
 >>> report = losses_of(lines, Weights({"captions": 1.3}, late_share=0.25))
 >>> report.by_cause[Cause.PAUSED].lost
@@ -22,28 +23,30 @@
     "REQUEST_ENDED",
     "Cause",
     "LossReport",
-    "Lost",
+    "LossSum",
     "Request",
     "Weights",
-    "arrived_at",
+    "arrival_time",
     "losses_of",
 ]
 
 REQUEST_ENDED = "request_ended"
-# A first event foreseen after more than this share of its target was late by choice.
-FORESEEN_SHARE = 0.7
-# Waiting for a place for longer than this share of the target is what made it late.
+# A late request counts as foreseen when the time it waited plus the predicted time of
+# the first event exceeded this share of its target: it was sent all the same.
+PREDICTED_LATE_SHARE = 0.7
+# A late request that waited for a free place longer than this share of its target
+# counts as late because of the wait.
 WAITED_SHARE = 0.5
-# A prompt's weight by its size, as callers count it: a fixed part, the rest in
-# proportion to the mean of its route, and no more than so many times the mean.
-FIXED_WEIGHT = 0.3
-LARGEST_WEIGHT = 4.0
-# Ids that are named for each cause.
-MOST_EXAMPLES = 3
+# Weight of a prompt by its size, as callers compute it: a fixed part, plus the rest
+# times the ratio of its tokens to the mean of its route, up to a largest weight.
+FIXED_SIZE_WEIGHT = 0.3
+MAX_SIZE_WEIGHT = 4.0
+# Most request ids that are listed for each cause.
+MAX_EXAMPLES = 3
 
 
 class Cause(StrEnum):
-    """Why a request was lost or late."""
+    """Why a request was lost or late, or that it was on time."""
 
     ON_TIME = "on time"
     FORESEEN = "late, foreseen"
@@ -59,13 +62,16 @@
     NOT_ALLOWED = "not allowed"
 
 
-# What no daemon could have served: the configuration forbade it, or the caller left
-# while everything was still on time.
+# Causes of requests that the service did not have to answer: the configuration forbade
+# the request, or the caller left while everything was still on time.
 NOT_OWED = (Cause.NOT_ALLOWED, Cause.LEFT_EARLY)
 
 
 class Request(NamedTuple):
-    """What became of one request."""
+    """The result of one request.
+
+    ``arrived`` is in seconds of the epoch, ``tokens`` the length of the prompt.
+    """
 
     request_id: str
     route: str
@@ -76,8 +82,8 @@
     lost: float
 
 
-class Lost(NamedTuple):
-    """The requests of one cause, or of one kind and cause."""
+class LossSum(NamedTuple):
+    """Sums over the requests of one cause, or of one route and cause."""
 
     count: int
     worth: float
@@ -86,45 +92,52 @@
 
 
 class Weights(NamedTuple):
-    """What a route's request is worth (1 if not named), and the share kept if late."""
+    """Weights by which losses are counted.
+
+    ``worth_by_route`` is the worth of a route's request of mean size, 1 for routes
+    not in it. ``late_share`` is the share of its worth, from 0 to 1, that a late
+    answer keeps.
+    """
 
     worth_by_route: Mapping[str, float]
     late_share: float = 0.25
 
 
 class LossReport(NamedTuple):
-    """All requests, and sums over them."""
+    """All requests, sorted by arrival, and the sums over them."""
 
     requests: Sequence[Request]
-    by_cause: Mapping[Cause, Lost]
-    by_route: Mapping[tuple[str, Cause], Lost]
+    by_cause: Mapping[Cause, LossSum]
+    by_route: Mapping[tuple[str, Cause], LossSum]
     by_second: Mapping[int, Mapping[Cause, float]]
 
     @property
     def owed(self) -> float:
-        """The worth of all requests but those of `NOT_OWED`."""
+        """The worth of all requests except those whose cause is in `NOT_OWED`."""
         owed = (r for r in self.requests if r.cause not in NOT_OWED)
         return sum(request.worth for request in owed)
 
     @property
     def lost(self) -> float:
-        """What of it was lost."""
+        """The worth lost over all requests."""
         return sum(request.lost for request in self.requests)
 
 
 def losses_of(lines: Iterable[LogLine], weights: Weights) -> LossReport:
-    """Return where the requests of these lines were lost."""
+    """Return the losses of the requests that these lines describe."""
     ended = [line for line in lines if line.event == REQUEST_ENDED]
-    means = _mean_tokens(ended)
-    requests = [_request(line, weights, means) for line in ended if _route(line)]
+    mean_by_route = _mean_tokens_by_route(ended)
+    requests = [
+        _weigh_request(line, weights, mean_by_route) for line in ended if _route(line)
+    ]
     requests.sort(key=lambda request: request.arrived)
     by_second: dict[int, dict[Cause, float]] = defaultdict(lambda: defaultdict(float))
     for request in requests:
         by_second[int(request.arrived)][request.cause] += request.lost
     return LossReport(
         requests,
-        _grouped((request.cause, request) for request in requests),
-        _grouped(((r.route, r.cause), r) for r in requests),
+        _sum_by_key((request.cause, request) for request in requests),
+        _sum_by_key(((r.route, r.cause), r) for r in requests),
         by_second,
     )
 
@@ -133,39 +146,43 @@
     return line.fields.get("route", "")
 
 
-def _mean_tokens(ended: Sequence[LogLine]) -> dict[str, float]:
+def _mean_tokens_by_route(ended: Sequence[LogLine]) -> dict[str, float]:
     tokens_by_route: dict[str, list[float]] = defaultdict(list)
     for line in ended:
         tokens = line.number("tokens")
         if tokens:
             tokens_by_route[_route(line)].append(tokens)
-    return {route: sum(all_) / len(all_) for route, all_ in tokens_by_route.items()}
+    return {
+        route: sum(counts) / len(counts) for route, counts in tokens_by_route.items()
+    }
 
 
-def _request(
+def _weigh_request(
     line: LogLine, weights: Weights, mean_by_route: Mapping[str, float]
 ) -> Request:
     route = _route(line)
     tokens = line.number("tokens") or 0.0
     worth = weights.worth_by_route.get(route, 1.0)
     if tokens:
-        size = tokens / mean_by_route[route]
-        worth *= min(LARGEST_WEIGHT, FIXED_WEIGHT + (1 - FIXED_WEIGHT) * size)
+        relative_size = tokens / mean_by_route[route]
+        worth *= min(
+            MAX_SIZE_WEIGHT, FIXED_SIZE_WEIGHT + (1 - FIXED_SIZE_WEIGHT) * relative_size
+        )
     cause = _cause(line)
     lost = worth * _lost_share(cause, weights.late_share)
     return Request(
         line.fields.get("request_id", ""),
         route,
         tokens,
-        arrived_at(line),
+        arrival_time(line),
         cause,
         worth,
         lost,
     )
 
 
-def arrived_at(line: LogLine) -> float:
-    """Return when the request of such a line arrived, in seconds of the epoch."""
+def arrival_time(line: LogLine) -> float:
+    """Return when a `request_ended` line's request arrived, in seconds of the epoch."""
     try:
         ended_at = datetime.fromisoformat(line.fields["time"]).timestamp()
     except (KeyError, ValueError):
@@ -186,7 +203,7 @@
     if outcome == "completed":
         return _cause_of_completed(line)
     if outcome == "caller_gone":
-        return _cause_of_left(line)
+        return _cause_of_abandoned(line)
     status = line.number("status") or 0
     if status in (429, 503):
         return Cause.REFUSED
@@ -196,19 +213,21 @@
     return Cause.BROKEN_OFF if began else Cause.FAILED
 
 
-def _cause_of_left(line: LogLine) -> Cause:
+def _cause_of_abandoned(line: LogLine) -> Cause:
     target = line.number("target") or float("inf")
-    came = line.number("first_event") or line.number("seconds") or 0.0
+    answered_seconds = line.number("first_event") or line.number("seconds") or 0.0
     gap_limit = line.number("gap_target") or float("inf")
-    is_late = came > target or (line.number("longest_gap") or 0.0) > gap_limit
+    is_late = (
+        answered_seconds > target or (line.number("longest_gap") or 0.0) > gap_limit
+    )
     return Cause.CALLER_GONE if is_late else Cause.LEFT_EARLY
 
 
 def _cause_of_completed(line: LogLine) -> Cause:
     target = line.number("target") or float("inf")
-    # A stream is judged by its first event, a call by its end.
-    came = line.number("first_event") or line.number("seconds") or 0.0
-    if came > target:
+    # A stream is judged by the time of its first event, any other call by that of its end.
+    answered_seconds = line.number("first_event") or line.number("seconds") or 0.0
+    if answered_seconds > target:
         return _cause_of_late(line, target)
     gap_limit = line.number("gap_target")
     if gap_limit and (line.number("longest_gap") or 0.0) > gap_limit:
@@ -222,17 +241,21 @@
         return Cause.REPEATED
     if waited > WAITED_SHARE * target:
         return Cause.WAITED
-    foreseen = waited + (line.number("predicted") or 0.0)
-    return Cause.FORESEEN if foreseen > FORESEEN_SHARE * target else Cause.UNFORESEEN
+    predicted_seconds = waited + (line.number("predicted") or 0.0)
+    return (
+        Cause.FORESEEN
+        if predicted_seconds > PREDICTED_LATE_SHARE * target
+        else Cause.UNFORESEEN
+    )
 
 
-def _grouped(keyed: Iterable[tuple]) -> dict:
-    """Return the sums of requests by their keys, most lost first."""
+def _sum_by_key(keyed_requests: Iterable[tuple]) -> dict:
+    """Return the sums of the requests of each key, largest loss first."""
     requests_by_key: dict[object, list[Request]] = defaultdict(list)
-    for key, request in keyed:
+    for key, request in keyed_requests:
         requests_by_key[key].append(request)
     sums = {
-        key: Lost(
+        key: LossSum(
             len(group),
             sum(request.worth for request in group),
             sum(request.lost for request in group),
@@ -244,5 +267,5 @@
 
 
 def _examples(group: Sequence[Request]) -> tuple[str, ...]:
-    dearest = sorted(group, key=lambda request: -request.lost)
-    return tuple(request.request_id for request in dearest[:MOST_EXAMPLES])
+    largest_losses = sorted(group, key=lambda request: -request.lost)
+    return tuple(request.request_id for request in largest_losses[:MAX_EXAMPLES])
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -1,4 +1,4 @@
-"""The report of how soon requests were answered, from daemons' log lines."""
+"""The latency report, from daemons' log lines."""
 
 import io
 
@@ -44,17 +44,19 @@
 def test_calls_are_grouped_by_endpoint():
     call = {"tokens": None, "first_event": None, "seconds": 0.06}
     found = report(line(**call), line(**call, endpoint="e2"), line())
-    assert {name: each.count for name, each in found.calls_by_endpoint.items()} == {
+    assert {
+        name: latency.count for name, latency in found.calls_by_endpoint.items()
+    } == {
         "e1": 1,
         "e2": 1,
     }
 
 
-def test_short_prompts_are_told_apart_by_the_long_work_beside_them():
+def test_short_prompts_are_grouped_by_the_long_work_of_the_same_second():
     alone = line().replace("time=20", "time=19", 1)
     found = report(alone, line(first_event=0.2), line(tokens=200_000, first_event=1.0))
-    assert found.short_by_neighbours["little long work"].p50 == pytest.approx(0.1)
-    assert found.short_by_neighbours["much long work"].p50 == pytest.approx(0.2)
+    assert found.short_by_long_work["little long work"].p50 == pytest.approx(0.1)
+    assert found.short_by_long_work["much long work"].p50 == pytest.approx(0.2)
 
 
 def test_answers_that_failed_have_no_latency():
@@ -64,7 +66,7 @@
 @pytest.mark.parametrize(
     ("text", "code"), [(line(), 0), ("?\n", 4), (line() + "?\n", 3)]
 )
-def test_the_command_prints_it(tmp_path, text, code):
+def test_command_prints_the_report(tmp_path, text, code):
     log = tmp_path / "gateway.log"
     log.write_text(text)
     result = CliRunner().invoke(main, ["report", "latency", str(log)])
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The report of where requests were lost, from daemons' log lines."""
+"""The report of lost requests, from daemons' log lines."""
 
 import io
 
@@ -7,12 +7,12 @@
 
 from cranberrywick.cli.main import main
 from cranberrywick.logs import EventLog, make_handler
-from cranberrywick.reports.log_lines import LogLine, Unreadable, read_lines
+from cranberrywick.reports.log_lines import LogLine, UnreadableLine, read_lines
 from cranberrywick.reports.losses import Cause, Weights, losses_of
 
 
 def line(request_id="r1", **fields):
-    """Return a line as the gateway writes it."""
+    """Return a `request_ended` line as the gateway writes it."""
     known = {
         "request_id": request_id,
         "route": "captions",
@@ -69,7 +69,7 @@
     assert cause_of(**fields) is cause
 
 
-def test_what_is_lost_is_weighed_by_size_and_by_whether_an_answer_came():
+def test_loss_is_weighed_by_size_and_by_whether_an_answer_came():
     lines = read(
         line("r1", tokens=3000, first_event=0.4),
         line("r2", tokens=5000, outcome="endpoint_refused", status=503),
@@ -83,15 +83,22 @@
     assert next(iter(report.by_cause)) is Cause.REFUSED
 
 
-def test_lines_that_hold_no_event_are_named_and_passed_over():
-    """An operator's file was cut in the middle and another program wrote into it."""
+def test_unreadable_lines_are_reported_and_skipped():
+    """A log file holds another program's output, and its last line was cut off.
+
+    Both lines are reported by number, and the whole line before them is still read.
+    """
     whole = line()
     found = read(whole, "\n", "Traceback (most recent call last):\n", whole[:60])
-    assert [type(each) for each in found] == [LogLine, type(None), *[Unreadable] * 2]
-    assert [each.number for each in found[2:]] == [3, 4]
+    assert [type(found_line) for found_line in found] == [
+        LogLine,
+        type(None),
+        *[UnreadableLine] * 2,
+    ]
+    assert [found_line.number for found_line in found[2:]] == [3, 4]
 
 
-def test_what_a_collector_puts_before_a_line_is_passed_over():
+def test_prefix_of_a_log_collector_is_skipped():
     assert read("12.5 gateway-3 " + line("r7"))[0].fields["request_id"] == "r7"
 
 
@@ -101,7 +108,7 @@
         log.write_text(text, encoding="utf-8")
         return CliRunner().invoke(main, ["report", "losses", str(log), *options])
 
-    def test_it_prints_causes_and_the_bound_and_writes_the_plot(self, tmp_path):
+    def test_prints_causes_and_reachable_share_and_writes_the_plot(self, tmp_path):
         plot = tmp_path / "hour.svg"
         text = line("r1") + line("r2", longest_gap=0.5)
         result = self.run(tmp_path, text, "--served", "0.5", "--plot", str(plot))
@@ -110,15 +117,15 @@
         assert "been on time: 0.875; never reached one: 0.125" in result.output
         assert "<svg" in plot.read_text(encoding="utf-8")
 
-    def test_cut_and_foreign_lines_are_named(self, tmp_path):
+    def test_unreadable_lines_are_listed(self, tmp_path):
         result = self.run(tmp_path, line() + "what is this\n")
         assert result.exit_code == 3
         assert "gateway.log:2" in result.output
 
-    def test_an_empty_log_says_so(self, tmp_path):
+    def test_empty_log_has_its_own_exit_code(self, tmp_path):
         assert self.run(tmp_path, "").exit_code == 4
 
-    def test_a_worth_without_a_figure_is_refused(self, tmp_path):
+    def test_worth_without_a_number_is_refused(self, tmp_path):
         result = self.run(tmp_path, line(), "--worth", "captions")
         assert result.exit_code == 2
         assert "ROUTE=WORTH" in result.output
