--- a/cranberrywick/reports/latency.py
+++ b/cranberrywick/reports/latency.py
@@ -20,7 +20,7 @@
 
 __all__ = ["Latency", "LatencyReport", "latency_of"]
 
-# Exclusive upper bound, in tokens, of each group of prompt lengths, by the group's name.
+# Exclusive upper bound, in tokens, of each group of prompt lengths, by its name.
 UPPER_BOUND_BY_LENGTH = {
     "under 8,000": 8_000,
     "8,000 to 30,000": 30_000,
--- a/cranberrywick/reports/losses.py
+++ b/cranberrywick/reports/losses.py
@@ -225,7 +225,7 @@
 
 def _cause_of_completed(line: LogLine) -> Cause:
     target = line.number("target") or float("inf")
-    # A stream is judged by the time of its first event, any other call by that of its end.
+    # A stream is judged by its first event, any other call by its end.
     answered_seconds = line.number("first_event") or line.number("seconds") or 0.0
     if answered_seconds > target:
         return _cause_of_late(line, target)
--- a/cranberrywick/reports/page.py
+++ b/cranberrywick/reports/page.py
@@ -1,4 +1,4 @@
-"""A burn report as one self-contained HTML page with plots."""
+"""Render a burn report as one self-contained HTML page with plots."""
 
 from datetime import datetime
 from html import escape
@@ -21,15 +21,17 @@
 
 __all__ = ["render_page"]
 
-# An infinite burn has no place on an axis; this is above every alert limit.
+# Burn rate at which plots are cut off, since an axis cannot show an infinite one. It is
+# above the limit of every alert rule.
 PLOT_CEILING = 100.0
+# Labels on the time axis are an hour apart.
 STEPS_BETWEEN_LABELS = 12
 
 _STYLE = Style(background="transparent", plot_background="transparent")
 
 
 def render_page(report: BurnReport, made_at: datetime) -> str:
-    """Return the page; it loads nothing from elsewhere."""
+    """Return the page as HTML; it loads nothing from other addresses."""
     template = Template(
         files("cranberrywick.reports").joinpath("page.html").read_text()
     )
@@ -54,14 +56,16 @@
 
 def _row(name: str, answer: ClassReport, label: str) -> str:
     cells = [name, label, f"{answer['targets_seconds'][label]:g} s"]
-    cells += [format_burn(w["burn"]) for w in answer["windows"][label].values()]
+    cells += [
+        format_burn(window["burn"]) for window in answer["windows"][label].values()
+    ]
     cells.append(answer["alerts"][label])
-    marked = "".join(f"<td>{escape(cell)}</td>" for cell in cells)
-    return f'<tr class="{escape(answer["alerts"][label])}">{marked}</tr>'
+    cells_html = "".join(f"<td>{escape(cell)}</td>" for cell in cells)
+    return f'<tr class="{escape(answer["alerts"][label])}">{cells_html}</tr>'
 
 
 def _class_plots(name: str, answer: ClassReport) -> str:
-    charts = (_window_chart(answer), _course_chart(answer))
+    charts = (_window_chart(answer), _history_chart(answer))
     images = "".join(f"<figure>{_svg(chart)}</figure>" for chart in charts)
     return f'<h2>{escape(name)}</h2>\n<div class="plots">{images}</div>'
 
@@ -71,11 +75,13 @@
     chart.x_labels = list(WINDOWS_SECONDS)
     for objective in Objective:
         windows = answer["windows"][objective.label].values()
-        chart.add(objective.label, [_plottable(w["burn"]) for w in windows])
+        chart.add(
+            objective.label, [_to_plot_value(window["burn"]) for window in windows]
+        )
     return chart
 
 
-def _course_chart(answer: ClassReport) -> pygal.Line:
+def _history_chart(answer: ClassReport) -> pygal.Line:
     chart = _chart(pygal.Line, "Burn over the last six hours")
     chart.x_labels = [_hours_ago(step) for step in range(STEP_COUNT)]
     chart.x_labels_major_every = STEPS_BETWEEN_LABELS
@@ -83,14 +89,14 @@
     for objective in Objective:
         steps = answer["steps"][objective.label]
         rates = [burn_rate(Counts(*step), answer["attainment"]) for step in steps]
-        chart.add(objective.label, [_plottable(rate) for rate in rates])
+        chart.add(objective.label, [_to_plot_value(rate) for rate in rates])
     return chart
 
 
-def _chart(kind: type[pygal.Graph], title: str) -> pygal.Graph:
-    # Without `js` pygal links a script on its project's site: the page would load
-    # from elsewhere, and show no numbers on a closed network.
-    return kind(
+def _chart(chart_class: type[pygal.Graph], title: str) -> pygal.Graph:
+    # By default, pygal links a script on its project's site. The page would then not
+    # be self-contained, and would show no numbers on a network without that site.
+    return chart_class(
         js=(),
         style=_STYLE,
         title=title,
@@ -110,7 +116,7 @@
     return f"-{(STEP_COUNT - step) * STEP_SECONDS / 3600:g} h"
 
 
-def _plottable(burn: float | str | None) -> float | None:
+def _to_plot_value(burn: float | str | None) -> float | None:
     if burn is None:
         return None
     return PLOT_CEILING if isinstance(burn, str) else min(burn, PLOT_CEILING)
--- a/cranberrywick/reports/table.py
+++ b/cranberrywick/reports/table.py
@@ -1,22 +1,22 @@
-"""A burn report as plain text."""
+"""Format a burn report as plain text."""
 
 from cranberrywick.reports.burn import WINDOWS_SECONDS, Objective
 from cranberrywick.reports.fleet import BurnReport, ClassReport
 
 __all__ = ["format_burn", "render_table", "report_notes"]
 
-# Below this the figures of a window speak for a part of it only.
+# Share of a window below which a note says that its figures cover only a part of it.
 FULL_COVERAGE = 0.99
 
 
 def render_table(report: BurnReport) -> str:
-    """Return the report as lines of text for a terminal."""
+    """Return the report as text for a terminal, with a final newline."""
     lines = [_header(), *_rows(report), "", *report_notes(report)]
     return "\n".join(lines) + "\n"
 
 
 def format_burn(burn: float | str | None) -> str:
-    """Return a burn rate as text; "-" when nothing was counted."""
+    """Return a burn rate as text, "-" when no request was counted."""
     if burn is None:
         return "-"
     return burn if isinstance(burn, str) else f"{burn:.2f}"
@@ -40,13 +40,15 @@
 
 
 def _row(name: str, answer: ClassReport, label: str) -> str:
-    burns = [format_burn(w["burn"]) for w in answer["windows"][label].values()]
+    burns = [
+        format_burn(window["burn"]) for window in answer["windows"][label].values()
+    ]
     target = f"{answer['targets_seconds'][label]:g} s"
     return _line(name, label, target, burns, answer["alerts"][label])
 
 
 def report_notes(report: BurnReport) -> list[str]:
-    """Return what a reader must know of the report, a sentence each."""
+    """Return the notes below the table: who answered and what limits the figures."""
     notes = [f"daemons that answered: {', '.join(report['daemons']) or 'none'}"]
     notes += [
         f"did not answer: {daemon['address']} ({daemon['reason']})"
@@ -55,11 +57,13 @@
     if len(report["configuration_versions"]) > 1:
         versions = ", ".join(map(str, report["configuration_versions"]))
         notes.append(f"configuration versions differ: {versions}")
-    thin = [
+    partly_observed = [
         f"{window} {share:.0%}"
         for window, share in report["coverage"].items()
         if share < FULL_COVERAGE
     ]
-    if thin:
-        notes.append(f"part of the window that was seen: {', '.join(thin)}")
+    if partly_observed:
+        notes.append(
+            f"share of the window that was observed: {', '.join(partly_observed)}"
+        )
     return notes
--- a/tests/test_burn_report.py
+++ b/tests/test_burn_report.py
@@ -23,7 +23,7 @@
 
 
 def answer(daemon_id, good, bad, version=1):
-    """Return what a daemon answers that lived for an hour."""
+    """Return the answer of a daemon that has been running for an hour."""
     now = [0.0]
     recorder = BurnRecorder(daemon_id, clock=lambda: now[0])
     recorder.set_targets({CLASS: TARGETS}, version)
@@ -36,7 +36,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Answers from the server's ``answers_by_path``, to an operator only."""
+    """Gives the answers in the server's ``answers_by_path``, to an operator only."""
 
     def do_GET(self):
         body = self.server.answers_by_path.get(self.path)
@@ -101,15 +101,15 @@
     assert merged["classes"][CLASS]["alerts"]["completion"] == "none"
 
 
-def test_no_daemon_at_all_is_still_a_report():
+def test_report_without_any_daemon():
     assert "daemons that answered: none" in render_table(merge([], []))
 
 
 def test_silent_daemons_are_named_with_the_reason():
-    """One daemon of three answers nonsense and one has stopped listening.
+    """One daemon of two answers with HTML in place of JSON.
 
-    The operator sees the figures of the one that answers, the other two by address
-    with what was wrong, and exit code 3.
+    The operator sees the figures of the other daemon, the address of the broken one
+    with the reason, and exit code 3.
     """
     with fake_daemons(answer("e1", 95, 5), b"<html>") as (good, broken):
         result = run_burn(good)
@@ -157,7 +157,7 @@
     assert "unauthorised" in result.output
 
 
-def test_entry_that_is_not_there():
+def test_entry_that_does_not_listen():
     with fake_daemons(answer("e1", 1, 0)) as (address,):
         pass
     result = run_burn(address)
