--- a/cranberrywick/cli/answers.py
+++ b/cranberrywick/cli/answers.py
@@ -1,4 +1,4 @@
-"""Read what the service answers a caller: a stream, a body or an error."""
+"""Read the service's answers to a caller: a stream, a body or an error."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -12,13 +12,14 @@
 
 __all__ = ["ServiceError", "StreamedAnswer", "read_body", "read_error", "read_stream"]
 
+# Most bytes of a stream that one read returns.
 READ_BYTES = 65_536
 REQUEST_ID_HEADER = "X-Request-Id"
 END_MARK = "[DONE]"
 
 
 class ServiceError(CranberrywickError):
-    """A failure that the service told the caller about."""
+    """A failure that the service reported in the body of its answer or in a stream."""
 
     def __init__(self, body: dict[str, Any], status: int, retry_after: float | None):
         super().__init__(
@@ -32,31 +33,35 @@
 
 
 class StreamedAnswer(NamedTuple):
-    """A stream that ended with its end mark."""
+    """A stream that was received up to its end mark; the usage may be missing."""
 
     text: str
     output_tokens: int | None
 
 
 def read_body(response: BaseHTTPResponse) -> bytes:
-    """Return the whole body; raise `AnswerLost` when it breaks off."""
+    """Return the whole body; raise `AnswerLost` when reading it fails."""
     try:
         return response.read()
     except HTTPError as error:
-        raise AnswerLost(f"the answer broke off: {type(error).__name__}") from error
+        raise AnswerLost(
+            f"reading the answer failed: {type(error).__name__}"
+        ) from error
 
 
 def read_error(response: BaseHTTPResponse) -> ServiceError:
-    """Return the failure that an answer other than 2xx tells.
+    """Return the failure that an answer with a status other than 2xx reports.
 
-    Raises `AnswerLost` when its body is not the service's: something else answered,
-    and whether the request ran is unknown.
+    Raise `AnswerLost` when the body is not an error body of the service: something
+    else, such as a proxy, answered, and whether the request ran is unknown.
     """
     data = read_body(response)
     try:
         retry_after = response.headers.get("Retry-After")
-        seconds = None if retry_after is None else float(retry_after)
-        return ServiceError(json.loads(data)["error"], response.status, seconds)
+        retry_after_seconds = None if retry_after is None else float(retry_after)
+        return ServiceError(
+            json.loads(data)["error"], response.status, retry_after_seconds
+        )
     except (ValueError, KeyError, TypeError) as error:
         message = f"status {response.status} without the service's error body"
         raise AnswerLost(message) from error
@@ -65,15 +70,15 @@
 def read_stream(
     response: BaseHTTPResponse, on_text: Callable[[str], None]
 ) -> StreamedAnswer:
-    """Read a streamed completion, passing each piece of text on as it arrives.
+    """Return a streamed completion; call ``on_text`` with each piece as it arrives.
 
-    Raises `ServiceError` for a failure told within the stream. A stream that ends
-    without its end mark is `AnswerLost`: a cut connection looks just like a short
-    answer otherwise.
+    Raise `ServiceError` for a failure that the stream reports. Raise `AnswerLost`
+    for a stream that ends without its end mark, because a lost connection would
+    otherwise look like a short answer.
     """
     pieces: list[str] = []
     output_tokens = None
-    for data in _event_data(response):
+    for data in _iter_event_data(response):
         if data == END_MARK:
             return StreamedAnswer("".join(pieces), output_tokens)
         event = _parse_event(data)
@@ -106,26 +111,28 @@
         pieces = [choice["delta"].get("content") for choice in document["choices"]]
         return _Event("".join(filter(None, pieces)), usage.get("completion_tokens"))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise AnswerLost("an event of the stream is not readable") from error
+        raise AnswerLost("an event of the stream could not be parsed") from error
 
 
-def _event_data(response: BaseHTTPResponse) -> Iterator[str]:
+def _iter_event_data(response: BaseHTTPResponse) -> Iterator[str]:
     return (
         line.removeprefix("data:").strip()
-        for line in _lines(response)
+        for line in _iter_lines(response)
         if line.startswith("data:")
     )
 
 
-def _lines(response: BaseHTTPResponse) -> Iterator[str]:
-    rest = b""
-    while chunk := _read_some(response):
-        *whole, rest = (rest + chunk).split(b"\n")
-        yield from (line.decode(errors="replace") for line in whole)
+def _iter_lines(response: BaseHTTPResponse) -> Iterator[str]:
+    incomplete_line = b""
+    while chunk := _read_chunk(response):
+        *complete_lines, incomplete_line = (incomplete_line + chunk).split(b"\n")
+        yield from (line.decode(errors="replace") for line in complete_lines)
 
 
-def _read_some(response: BaseHTTPResponse) -> bytes:
+def _read_chunk(response: BaseHTTPResponse) -> bytes:
     try:
         return response.read1(READ_BYTES)
     except HTTPError as error:
-        raise AnswerLost(f"the stream broke off: {type(error).__name__}") from error
+        raise AnswerLost(
+            f"reading the stream failed: {type(error).__name__}"
+        ) from error
--- a/cranberrywick/cli/ask.py
+++ b/cranberrywick/cli/ask.py
@@ -1,4 +1,4 @@
-"""``cranberrywick ask``: a caller, for trying the service and for scripts."""
+"""``cranberrywick ask``: send requests to the service, by hand or from scripts."""
 
 import json
 import sys
@@ -38,14 +38,18 @@
     help="Call a plain service in place of a model.",
 )
 @click.option("--body", default="", help="The JSON body of --call.")
-@click.option("--idempotency-key", help="For --call; a new one when left out.")
+@click.option(
+    "--idempotency-key", help="Idempotency-Key of --call; a new one by default."
+)
 @click.option(
     "--patience",
     default=30.0,
     show_default=True,
-    help="Seconds to go on trying a request that did not run.",
+    help="Seconds for which a request that did not run is tried again.",
+)
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print one line of JSON for each request."
 )
-@click.option("--json", "as_json", is_flag=True, help="Print one JSON line a request.")
 @click.argument("prompts", nargs=-1)
 def ask(
     entries: tuple[str, ...],
@@ -61,8 +65,9 @@
 ) -> None:
     """Send PROMPTS one after another and show each answer as it arrives.
 
-    A prompt of "-" is read from standard input. The addresses are asked for once
-    and kept for their lifetime. A request is sent again only when it did not run.
+    A prompt of "-" is read from standard input. The addresses of the entries are
+    requested once and kept for their lifetime. A request is sent again only when it
+    did not run.
 
     \b
     Examples:
@@ -85,18 +90,18 @@
         idempotency_key = idempotency_key or uuid4().hex
         click.echo(f"idempotency key: {idempotency_key}", err=True)
         outcome = caller.call_service(*call, body, idempotency_key)
-        _show(outcome, as_json, streamed=False)
+        _print_outcome(outcome, as_json, streamed=False)
         _exit_unless_answered(outcome)
         return
     for prompt in prompts:
         text = sys.stdin.read() if prompt == "-" else prompt
-        on_text = _ignore if as_json else _print_piece
+        on_text = _discard_piece if as_json else _print_piece
         outcome = caller.complete(model, text, max_tokens, on_text)
-        _show(outcome, as_json, streamed=True)
+        _print_outcome(outcome, as_json, streamed=True)
         _exit_unless_answered(outcome)
 
 
-def _ignore(piece: str) -> None:
+def _discard_piece(piece: str) -> None:
     pass
 
 
@@ -104,17 +109,17 @@
     click.echo(piece, nl=False)
 
 
-def _show(outcome: Outcome, as_json: bool, streamed: bool) -> None:
+def _print_outcome(outcome: Outcome, as_json: bool, streamed: bool) -> None:
     if as_json:
-        click.echo(json.dumps(_as_document(outcome)))
+        click.echo(json.dumps(_to_document(outcome)))
     elif isinstance(outcome, Answered):
         click.echo("" if streamed else outcome.text.rstrip("\n"))
-        click.echo(_summary(outcome), err=True)
+        click.echo(_summary_line(outcome), err=True)
     else:
-        click.echo(_complaint(outcome), err=True)
+        click.echo(_failure_line(outcome), err=True)
 
 
-def _summary(answered: Answered) -> str:
+def _summary_line(answered: Answered) -> str:
     parts = [
         f"answered by {answered.entry}",
         f"first token {answered.first_token_seconds:.3f} s",
@@ -126,16 +131,16 @@
     return ", ".join(parts)
 
 
-def _complaint(outcome: Outcome) -> str:
+def _failure_line(outcome: Outcome) -> str:
     error = outcome.error
     name = type(outcome).__name__.lower()
     line = f"{name}: {error.type}: {error.message} (executed: {error.executed.value})"
     if error.retry_after is not None:
-        line += f", come back after {error.retry_after:g} s"
+        line += f", retry after {error.retry_after:g} s"
     return line
 
 
-def _as_document(outcome: Outcome) -> dict[str, object]:
+def _to_document(outcome: Outcome) -> dict[str, object]:
     name = type(outcome).__name__.lower()
     if isinstance(outcome, Answered):
         return {"outcome": name, **vars(outcome)}
--- a/cranberrywick/cli/caller.py
+++ b/cranberrywick/cli/caller.py
@@ -1,11 +1,11 @@
-"""A caller of the service, as docs/CALLERS.md describes one.
+"""A client of the service that follows the rules for callers in docs/CALLERS.md.
 
 >>> caller = Caller(["http://127.0.0.1:8080"], key="…")
 >>> caller.complete("drafter", "Summarise this call.", max_tokens=64)
 Answered(…)
 
-It asks for the addresses, keeps them for their lifetime, connects to one itself,
-and sends a request again only when it certainly did not run.
+It requests the addresses of the entries, keeps them for their lifetime, connects to
+one of them, and sends a request again only when it certainly did not run.
 """
 
 import json
@@ -40,21 +40,22 @@
 COMPLETIONS_PATH = "/v1/chat/completions"
 SERVICES_PATH = "/v1/services"
 CONNECT_TIMEOUT_SECONDS = 3.0
-# Longer than any class may take; the service itself ends a request in its time.
+# Longer than the target of any class: the service itself ends a request at its limit.
 READ_TIMEOUT_SECONDS = 3_600.0
-# Where no answer says when to come back.
+# Delay before a retry, in seconds, where the answer has no Retry-After.
 DEFAULT_RETRY_SECONDS = 1.0
 
-# Sent again unchanged, such a request gets the same answer.
-REJECTING_STATUSES = frozenset({400, 401, 404, 413, 422})
-# Failures of one entry; another one may be asked at once. Any other refusal speaks
-# for the fleet, and asking each entry in turn would multiply the load on it.
-FAILURES_OF_ONE_ENTRY = frozenset({Draining.type, EntryUnreachable.type})
+# Statuses after which the same request, sent again unchanged, gets the same answer.
+REJECTION_STATUSES = frozenset({400, 401, 404, 413, 422})
+# Types of failures that concern a single entry, so that another entry may be tried at
+# once. Any other refusal holds for the fleet, and trying each entry in turn would
+# multiply the load on it.
+SINGLE_ENTRY_FAILURES = frozenset({Draining.type, EntryUnreachable.type})
 
 
 @dataclass(frozen=True)
 class Answered:
-    """The whole answer arrived. Times are seconds from the caller's first try."""
+    """The whole answer arrived. Times are seconds since the caller's first attempt."""
 
     entry: str
     request_id: str
@@ -93,6 +94,8 @@
 
 
 class _Call(NamedTuple):
+    """One HTTP request; its answer is read as a stream if ``on_text`` is given."""
+
     method: str
     path: str
     body: bytes = b""
@@ -101,10 +104,10 @@
 
 
 class Caller:
-    """Sends requests to a fleet that any of ``entry_urls`` belongs to.
+    """Client that sends requests to the fleet that ``entry_urls`` belong to.
 
-    ``patience_seconds`` is how long a request that did not run is tried again.
-    Not for several threads at once.
+    ``patience_seconds`` is for how long a request that did not run is tried again,
+    counted from its first attempt. A caller may be used by one thread only.
     """
 
     def __init__(
@@ -115,7 +118,7 @@
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
     ):
-        self._seeds = [parse_url(url).netloc or url for url in entry_urls]
+        self._initial_addresses = [parse_url(url).netloc or url for url in entry_urls]
         self._key = key
         self._patience_seconds = patience_seconds
         self._clock = clock
@@ -130,7 +133,7 @@
         max_tokens: int,
         on_text: Callable[[str], None] = lambda text: None,
     ) -> Outcome:
-        """Stream a completion; ``on_text`` gets each piece as it arrives."""
+        """Request a streamed completion; call ``on_text`` with each piece of text."""
         document = {
             "model": model,
             "messages": [{"role": "user", "content": prompt}],
@@ -138,39 +141,45 @@
             "stream": True,
         }
         body = json.dumps(document).encode()
-        return self._run(_Call("POST", COMPLETIONS_PATH, body, on_text=on_text))
+        return self._run_with_retries(
+            _Call("POST", COMPLETIONS_PATH, body, on_text=on_text)
+        )
 
     def call_service(
         self, service: str, method: str, path: str, body: str, idempotency_key: str
     ) -> Outcome:
-        """Call a plain service; every try carries the same ``Idempotency-Key``."""
+        """Call a plain service; every attempt has the same ``Idempotency-Key``."""
         full_path = f"{SERVICES_PATH}/{service}/{path.lstrip('/')}"
         headers = {"Idempotency-Key": idempotency_key}
-        return self._run(_Call(method, full_path, body.encode(), headers))
+        return self._run_with_retries(_Call(method, full_path, body.encode(), headers))
 
     def addresses(self) -> list[str]:
-        """Return the addresses to use, asked anew when their lifetime has passed.
+        """Return the entries' addresses; request them again after their lifetime.
 
-        Raises `EntryUnreachable` when no entry tells them and none was known before,
-        and `ServiceError` when the question itself is wrong, such as its key.
+        Raise `EntryUnreachable` when no entry returns them and there are none from
+        an earlier request, and `ServiceError` when the service rejects the request,
+        for example because of its key.
         """
         if self._clock() < self._expires_at:
             return self._addresses
-        for address in dict.fromkeys([*self._addresses, *self._seeds]):
+        for address in dict.fromkeys([*self._addresses, *self._initial_addresses]):
             try:
-                self._learn_addresses(address)
+                self._fetch_addresses(address)
                 return self._addresses
             except CranberrywickError as error:
-                if error.status in REJECTING_STATUSES:
+                if error.status in REJECTION_STATUSES:
                     raise
-                reason = error
+                last_error = error
         if not self._addresses:
-            raise EntryUnreachable(f"no entry tells the addresses: {reason.message}")
-        # Nobody tells better ones, and a daemon that still listens there serves.
+            raise EntryUnreachable(
+                f"no entry returned the addresses: {last_error.message}"
+            )
+        # No entry returned newer addresses, and a daemon that still listens at one of
+        # the expired addresses serves requests.
         return self._addresses
 
-    def _learn_addresses(self, address: str) -> None:
-        asked_at = self._clock()
+    def _fetch_addresses(self, address: str) -> None:
+        requested_at = self._clock()
         response = self._send(address, _Call("GET", ENTRIES_PATH))
         if response.status != 200:
             raise read_error(response)
@@ -179,61 +188,67 @@
             addresses = [str(entry["address"]) for entry in answer["entries"]]
             lifetime = float(answer["lifetime_seconds"])
         except (ValueError, KeyError, TypeError) as error:
-            raise AnswerLost(f"{address}: the addresses are not readable") from error
+            raise AnswerLost(
+                f"{address}: the list of addresses could not be parsed"
+            ) from error
         if not addresses:
-            raise EntryUnreachable(f"{address} names no entry that takes callers")
+            raise EntryUnreachable(f"{address}: the list of addresses is empty")
         self._addresses = addresses
-        self._expires_at = asked_at + lifetime
+        self._expires_at = requested_at + lifetime
 
-    def _run(self, call: _Call) -> Outcome:
-        started = self._clock()
-        passed_over: set[str] = set()
+    def _run_with_retries(self, call: _Call) -> Outcome:
+        started_at = self._clock()
+        tried_addresses: set[str] = set()
         attempts = 0
         while True:
             attempts += 1
             try:
                 return replace(
-                    self._attempt(call, started, passed_over), attempts=attempts
+                    self._attempt(call, started_at, tried_addresses), attempts=attempts
                 )
             except CranberrywickError as error:
                 outcome = _outcome_of(error, attempts)
-            wait = self._seconds_before_next(outcome, passed_over)
-            if wait is None or self._clock() + wait > started + self._patience_seconds:
+            delay = self._retry_delay(outcome, tried_addresses)
+            if (
+                delay is None
+                or self._clock() + delay > started_at + self._patience_seconds
+            ):
                 return outcome
-            self._sleep(wait)
+            self._sleep(delay)
 
-    def _attempt(self, call: _Call, started: float, passed_over: set[str]) -> Answered:
-        address = self._choose(passed_over)
-        # Before the send, so that any failure of this one leads to another entry.
-        passed_over.add(address)
+    def _attempt(
+        self, call: _Call, started_at: float, tried_addresses: set[str]
+    ) -> Answered:
+        address = self._choose_address(tried_addresses)
+        # Added before the request is sent, so that after any failure the next attempt
+        # goes to another entry.
+        tried_addresses.add(address)
         response = self._send(address, call)
         if not 200 <= response.status < 300:
             raise read_error(response)
-        return self._read(address, response, call, started)
+        return self._read(address, response, call, started_at)
 
-    def _choose(self, passed_over: set[str]) -> str:
+    def _choose_address(self, tried_addresses: set[str]) -> str:
         for address in self.addresses():
-            if address not in passed_over:
+            if address not in tried_addresses:
                 return address
-        # All have been tried since the list was made, so it may be out of date.
-        passed_over.clear()
+        # Every address has been tried, so the list may be out of date.
+        tried_addresses.clear()
         self._expires_at = float("-inf")
         return self.addresses()[0]
 
-    def _seconds_before_next(
-        self, outcome: Outcome, passed_over: set[str]
-    ) -> float | None:
-        if not _may_be_sent_again(outcome):
+    def _retry_delay(self, outcome: Outcome, tried_addresses: set[str]) -> float | None:
+        if not _is_retryable(outcome):
             return None
-        others_left = not passed_over.issuperset(self._addresses)
-        if outcome.error.type in FAILURES_OF_ONE_ENTRY and others_left:
+        others_left = not tried_addresses.issuperset(self._addresses)
+        if outcome.error.type in SINGLE_ENTRY_FAILURES and others_left:
             return 0.0
         return outcome.error.retry_after or DEFAULT_RETRY_SECONDS
 
     def _send(self, address: str, call: _Call) -> BaseHTTPResponse:
-        # A fresh connection each time and none of the library's own retries: a
-        # reused idle connection may die on the first byte, and then nobody knows
-        # whether the request ran.
+        # Each request gets a new connection, and the library's own retries are off. A
+        # reused idle connection may fail at the first byte, and then the caller cannot
+        # know whether the request ran.
         host, _, port = address.rpartition(":")
         pool = HTTPConnectionPool(host, int(port), maxsize=1)
         try:
@@ -255,16 +270,16 @@
                 preload_content=False,
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
-            raise EntryUnreachable(f"{address}: no connection") from error
+            raise EntryUnreachable(f"{address}: could not connect") from error
         except HTTPError as error:
             raise AmbiguousSend(f"{address}: {type(error).__name__}") from error
 
     def _read(
-        self, address: str, response: BaseHTTPResponse, call: _Call, started: float
+        self, address: str, response: BaseHTTPResponse, call: _Call, started_at: float
     ) -> Answered:
         first_at: list[float] = []
 
-        def note_first_and_pass_on(text: str) -> None:
+        def record_first_and_forward(text: str) -> None:
             if not first_at:
                 first_at.append(self._clock())
             call.on_text(text)
@@ -272,14 +287,14 @@
         if call.on_text is None:
             text, output_tokens = read_body(response).decode(errors="replace"), None
         else:
-            text, output_tokens = read_stream(response, note_first_and_pass_on)
+            text, output_tokens = read_stream(response, record_first_and_forward)
         ended_at = self._clock()
         return Answered(
             entry=address,
             request_id=response.headers.get(REQUEST_ID_HEADER, ""),
             text=text,
-            first_token_seconds=(first_at or [ended_at])[0] - started,
-            total_seconds=ended_at - started,
+            first_token_seconds=(first_at or [ended_at])[0] - started_at,
+            total_seconds=ended_at - started_at,
             output_tokens=output_tokens,
         )
 
@@ -287,14 +302,14 @@
 def _outcome_of(error: CranberrywickError, attempts: int) -> Outcome:
     if error.executed is not Executed.NO:
         return Failed(error, attempts)
-    if error.status in REJECTING_STATUSES:
+    if error.status in REJECTION_STATUSES:
         return Rejected(error, attempts)
     return Refused(error, attempts)
 
 
-def _may_be_sent_again(outcome: Outcome) -> bool:
+def _is_retryable(outcome: Outcome) -> bool:
     if isinstance(outcome, Refused):
         return True
-    # The same call with the same key is in progress: asking again under that key
-    # returns its answer and can't run it twice.
+    # A call with the same idempotency key is in progress. Sending it again under that
+    # key returns the answer of the first and cannot run the call twice.
     return isinstance(outcome, Failed) and outcome.error.type == StillRunning.type
--- a/tests/test_ask.py
+++ b/tests/test_ask.py
@@ -1,4 +1,4 @@
-"""The caller against entries that answer by script."""
+"""The caller and ``cranberrywick ask``, against entries with prepared answers."""
 
 import json
 import threading
@@ -15,7 +15,7 @@
 
 
 class Entry(ThreadingHTTPServer):
-    """One entry: it tells ``addresses`` and gives its ``answers`` in order."""
+    """An entry that returns ``addresses`` and gives its ``answers`` in order."""
 
     daemon_threads = True
 
@@ -74,7 +74,7 @@
 
 
 class Clock:
-    """Time passes only while the caller waits."""
+    """Clock that advances only while the caller waits between attempts."""
 
     def __init__(self):
         self.now = 0.0
@@ -149,7 +149,7 @@
     assert not any(clock.waits)
 
 
-def test_entry_that_takes_no_connection_is_left_at_once(entries, caller, clock):
+def test_unreachable_entry_is_left_at_once(entries, caller, clock):
     entries[0].answers = [stream("a")]
     entries[1].answers = [stream("b")]
     caller.complete("drafter", "When?", 8)
@@ -159,7 +159,9 @@
     assert not any(clock.waits)
 
 
-def test_full_fleet_is_asked_again_after_the_stated_time(entries, caller, clock):
+def test_refusal_of_a_full_fleet_is_retried_after_the_stated_time(
+    entries, caller, clock
+):
     entries[0].answers = [error(429, "overloaded", "no", Retry_After="7")]
     entries[1].answers = [stream("a")]
     outcome = caller.complete("drafter", "When?", 8)
@@ -167,7 +169,7 @@
     assert clock.waits == [7.0]
 
 
-def test_patience_ends(entries, caller, clock):
+def test_retries_end_with_the_patience(entries, caller, clock):
     entries[0].answers = [error(429, "overloaded", "no", Retry_After="60")]
     outcome = caller.complete("drafter", "When?", 8)
     assert isinstance(outcome, Refused)
@@ -185,10 +187,10 @@
     ],
 )
 def test_request_that_may_have_run_is_not_sent_again(entries, caller, answer, kind):
-    """The answer is an error that leaves open whether the request ran, or breaks off.
+    """Guards against a second run, which could be a second booking.
 
-    The caller reports a failure. Another entry is not asked: a second run could be a
-    second booking.
+    The answer is an error that does not exclude that the request ran, or it is cut
+    off. The caller reports a failure and sends nothing to another entry.
     """
     entries[0].answers = [answer]
     outcome = caller.complete("drafter", "When?", 8)
@@ -204,7 +206,7 @@
     assert posts(entries[1]) == []
 
 
-def test_call_in_progress_is_asked_for_under_the_same_key(entries, caller, clock):
+def test_call_in_progress_is_sent_again_under_the_same_key(entries, caller, clock):
     entries[0].answers = [error(409, "still_running", "unknown", Retry_After="2")]
     entries[1].answers = [(201, {}, b'{"slot": 4}')]
     outcome = caller.call_service("booking", "POST", "/slots", "{}", "order-17")
@@ -229,7 +231,7 @@
         (error(404, "unknown_model", "no"), 5),
     ],
 )
-def test_exit_code_tells_the_outcome(entries, answer, exit_code):
+def test_exit_code_matches_the_outcome(entries, answer, exit_code):
     entries[0].answers = [answer]
     result = run_ask(entries[0], "--json", "--model", "drafter", "When?")
     assert result.exit_code == exit_code
