--- a/cranberrywick/cli/__init__.py
+++ b/cranberrywick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The commands of ``cranberrywick``."""
--- a/cranberrywick/cli/config.py
+++ b/cranberrywick/cli/config.py
@@ -14,15 +14,17 @@
     OperatorClient,
     OperatorRequestFailed,
     operator_command,
-    show,
+    print_answer,
 )
 from cranberrywick.configuration.document import check_text
 from cranberrywick.errors import InvalidConfiguration
 
 __all__ = ["config", "report_in_force"]
 
-# An accepted configuration is in force everywhere in seconds.
+# Default time to wait until an accepted configuration is in force on every daemon,
+# which takes a few seconds.
 WAIT_SECONDS = 10.0
+# Time between two requests for the status meanwhile.
 POLL_SECONDS = 0.2
 
 
@@ -37,7 +39,7 @@
 def check_command(file: Path, as_json: bool) -> None:
     """Check FILE without a daemon.
 
-    Exit code 1 says that it won't do, and the message where and why.
+    Exit code 1 means that FILE is invalid; the message says where and why.
     """
     try:
         configuration = check_text(json.dumps(_read_document(file)[0]))
@@ -52,8 +54,8 @@
         "models": len(configuration.models_by_name),
         "services": len(configuration.services_by_name),
     }
-    listed = ", ".join(f"{count} {name}" for name, count in counts.items())
-    show({"valid": True, **counts}, as_json, [f"{file}: valid ({listed})"])
+    counts_text = ", ".join(f"{count} {name}" for name, count in counts.items())
+    print_answer({"valid": True, **counts}, as_json, [f"{file}: valid ({counts_text})"])
 
 
 @config.command("show", epilog="Example: cranberrywick config show --version 7")
@@ -77,14 +79,14 @@
 @click.option(
     "--base",
     type=int,
-    help="The version that FILE was made from; needed where FILE does not say.",
+    help="The version that FILE was made from; needed if FILE does not state it.",
 )
 @click.option(
     "--wait",
     type=float,
     default=WAIT_SECONDS,
     show_default=True,
-    help="Seconds to wait for every daemon.",
+    help="Seconds to wait until the change is in force on every daemon.",
 )
 @operator_command
 def apply_command(
@@ -92,8 +94,8 @@
 ) -> None:
     """Replace the configuration and wait until every daemon has it in force.
 
-    FILE holds a document, or what `config show` printed. The change is refused
-    with exit code 3 when another operator's came first.
+    FILE holds a configuration document or the output of `config show`. The change
+    is refused with exit code 3 when another operator's change came first.
     """
     try:
         document, base_in_file = _read_document(file)
@@ -118,7 +120,7 @@
 
 
 def _read_document(file: Path) -> tuple[object, int]:
-    """Return a file's document and the version it was made from, 0 if not said."""
+    """Return a file's document and the version it was made from, 0 if not stated."""
     try:
         fields = json.loads(file.read_text(encoding="utf-8"))
     except (ValueError, RecursionError) as error:
@@ -131,16 +133,21 @@
 def report_in_force(
     client: OperatorClient, as_json: bool, accepted: dict, wait: float
 ) -> None:
-    """Wait for every daemon and print how many have a version in force.
+    """Wait until every daemon has a version in force, and print how many have.
 
-    Ends the command with exit code 5 when some do not within ``wait`` seconds.
+    ``accepted`` is the daemon's answer to the change. End the command with exit code
+    5 when some daemons do not have the version in force within ``wait`` seconds.
     """
     version = accepted["version"]
-    give_up_at = time.monotonic() + wait
+    deadline = time.monotonic() + wait
     while True:
         versions = client.get("config/status")["versions_by_daemon"]
-        behind = sorted(name for name, held in versions.items() if held < version)
-        if not behind or time.monotonic() >= give_up_at:
+        behind = sorted(
+            name
+            for name, daemon_version in versions.items()
+            if daemon_version < version
+        )
+        if not behind or time.monotonic() >= deadline:
             break
         time.sleep(POLL_SECONDS)
     in_force = len(versions) - len(behind)
@@ -148,7 +155,7 @@
     if behind:
         line += f"; not yet on {', '.join(behind)}"
     summary = {**accepted, "in_force": in_force, "behind": behind}
-    show(summary, as_json, [line])
+    print_answer(summary, as_json, [line])
     if behind:
         sys.exit(ExitCode.NOT_IN_FORCE)
 
@@ -164,4 +171,4 @@
             f"{change['version']:>7}  {change['at']:<25}  "
             f"{change['operator']:<8}  {change['change_id']}"
         )
-    show(answer, as_json, lines)
+    print_answer(answer, as_json, lines)
--- a/cranberrywick/cli/domain.py
+++ b/cranberrywick/cli/domain.py
@@ -1,4 +1,4 @@
-"""``cranberrywick domain``: take failure domains out and bring them back."""
+"""``cranberrywick domain``: take failure domains out of service and back in."""
 
 import secrets
 from urllib.parse import quote
@@ -10,7 +10,7 @@
     EXIT_CODES_HELP,
     OperatorClient,
     operator_command,
-    show,
+    print_answer,
 )
 
 __all__ = ["domain"]
@@ -20,7 +20,7 @@
     type=float,
     default=WAIT_SECONDS,
     show_default=True,
-    help="Seconds to wait for every daemon.",
+    help="Seconds to wait until the change is in force on every daemon.",
 )
 
 
@@ -34,8 +34,8 @@
 @_wait_option
 @operator_command
 def out_command(client: OperatorClient, as_json: bool, name: str, wait: float) -> None:
-    """Give the failure domain NAME no new work, on every daemon."""
-    _move(client, as_json, name, True, wait)
+    """Take the failure domain NAME out: no daemon gives it new work."""
+    _set_out(client, as_json, name, True, wait)
 
 
 @domain.command("back", epilog="Example: cranberrywick domain back tallinn-b")
@@ -43,11 +43,11 @@
 @_wait_option
 @operator_command
 def back_command(client: OperatorClient, as_json: bool, name: str, wait: float) -> None:
-    """Give the failure domain NAME new work again."""
-    _move(client, as_json, name, False, wait)
+    """Bring the failure domain NAME back: daemons give it new work again."""
+    _set_out(client, as_json, name, False, wait)
 
 
-def _move(
+def _set_out(
     client: OperatorClient, as_json: bool, name: str, out: bool, wait: float
 ) -> None:
     fields = {"out": out, "change_id": secrets.token_hex(8)}
@@ -58,10 +58,10 @@
 @domain.command("list", epilog="Example: cranberrywick domain list --json")
 @operator_command
 def list_command(client: OperatorClient, as_json: bool) -> None:
-    """List failure domains, whether they are out, and their endpoints."""
+    """List the failure domains: whether each is out, and its number of endpoints."""
     answer = client.get("domains")
     lines = ["failure domain    state  endpoints"]
     for row in answer["domains"]:
         state = "out" if row["out"] else "in"
         lines.append(f"{row['failure_domain']:<16}  {state:<5}  {row['endpoints']:>9}")
-    show(answer, as_json, lines)
+    print_answer(answer, as_json, lines)
--- a/cranberrywick/cli/endpoint.py
+++ b/cranberrywick/cli/endpoint.py
@@ -1,4 +1,4 @@
-"""``cranberrywick endpoint``: what daemons know of the endpoints."""
+"""``cranberrywick endpoint``: show the endpoints and their state."""
 
 import click
 
@@ -6,7 +6,7 @@
     EXIT_CODES_HELP,
     OperatorClient,
     operator_command,
-    show,
+    print_answer,
 )
 
 __all__ = ["endpoint"]
@@ -14,13 +14,13 @@
 
 @click.group(epilog=EXIT_CODES_HELP)
 def endpoint() -> None:
-    """Look at the endpoints."""
+    """Show the endpoints."""
 
 
 @endpoint.command("list", epilog="Example: cranberrywick endpoint list --json")
 @operator_command
 def list_command(client: OperatorClient, as_json: bool) -> None:
-    """List the endpoints as the asked daemon sees them."""
+    """List the endpoints with the state that the daemon has recorded of them."""
     answer = client.get("endpoints")
     lines = [
         "endpoint          kind        failure domain    phase    running  waiting"
@@ -31,4 +31,4 @@
             f"{row['failure_domain']:<16}  {row['phase']:<7}  "
             f"{row['running']:>7}  {row['waiting']:>7}"
         )
-    show(answer, as_json, lines)
+    print_answer(answer, as_json, lines)
--- a/cranberrywick/cli/gateway.py
+++ b/cranberrywick/cli/gateway.py
@@ -1,4 +1,4 @@
-"""``cranberrywick gateway``."""
+"""``cranberrywick gateway``: run the gateway of one entry VM."""
 
 import sys
 
@@ -15,13 +15,15 @@
 
 
 @click.command()
-@click.option("--settings", type=click.Path(), help="JSON file of the platform.")
+@click.option(
+    "--settings", type=click.Path(), help="The platform's settings file, as JSON."
+)
 @click.option("--log-level", default="info", show_default=True)
 def gateway(settings: str | None, log_level: str) -> None:
-    """Run the gateway of one entry VM, as the users' platform starts it.
+    """Run the gateway of one entry VM. The users' platform starts this command.
 
-    Without --settings the file's path is taken from CRANBERRYWICK_CONFIG. SIGTERM
-    or SIGINT starts a graceful stop.
+    Without --settings, the path of the settings file is read from
+    CRANBERRYWICK_CONFIG. SIGTERM or SIGINT starts a graceful stop.
 
     Exit codes: 0 after a stop, 2 for invalid settings.
     """
--- a/cranberrywick/cli/main.py
+++ b/cranberrywick/cli/main.py
@@ -8,8 +8,8 @@
 
 __all__ = ["main"]
 
-# Where each command is found. Loaded only when it is asked for: the gateway must be
-# ready soon after its start and keep little in memory, and needs none of the others.
+# Module of each command, imported only when the command is used. The gateway must be
+# ready soon after its start and use little memory, and it needs none of the others.
 MODULES_BY_COMMAND = {
     "ask": "cranberrywick.cli.ask",
     "config": "cranberrywick.cli.config",
@@ -25,6 +25,8 @@
 
 
 class _LazyGroup(click.Group):
+    """A group of commands whose modules are imported on first use."""
+
     def list_commands(self, context: click.Context) -> list[str]:
         return sorted(MODULES_BY_COMMAND)
 
@@ -38,4 +40,4 @@
 @click.group(cls=_LazyGroup)
 @click.version_option(__version__)
 def main() -> None:
-    """Serve language-model prompts of very unlike lengths."""
+    """Serve language-model prompts of very different lengths."""
--- a/cranberrywick/cli/operator_client.py
+++ b/cranberrywick/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: options, the client, exit codes."""
+"""Options, HTTP client and exit codes that the operators' commands share."""
 
 import json
 import sys
@@ -19,18 +19,20 @@
     "OperatorClient",
     "OperatorRequestFailed",
     "operator_command",
-    "show",
+    "print_answer",
 ]
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-# A change is tried by the daemon for up to 15 s before its outcome is unknown.
+# Longer than the 15 s for which a daemon tries a change before it answers that the
+# outcome is unknown.
 READ_TIMEOUT_SECONDS = 30.0
 
 EXIT_CODES_HELP = """
 \b
 Exit codes: 0 done; 1 refused or invalid; 2 wrong usage; 3 another
-operator's newer version holds; 4 no daemon or no platform; 5 accepted, but
-not yet in force everywhere; 6 not known whether it was accepted.
+operator's newer version is in force; 4 no daemon or no platform;
+5 accepted, but not yet in force everywhere; 6 not known whether it
+was accepted.
 """
 
 
@@ -68,7 +70,7 @@
 
 
 class OperatorClient:
-    """Calls the operators' HTTP interface of the first daemon that answers."""
+    """Client of the operators' HTTP interface; uses the first daemon that answers."""
 
     def __init__(self, daemons: tuple[str, ...], key: str):
         self._daemons = daemons
@@ -76,22 +78,23 @@
         self._pool = urllib3.PoolManager(retries=False)
 
     def get(self, path: str, **query: str) -> dict:
-        """Read something; raises `OperatorRequestFailed`."""
+        """Return the answer to a GET request; raise `OperatorRequestFailed`."""
         return self._call("GET", path, query, None)
 
     def post(self, path: str, fields: dict) -> dict:
-        """Change something, under the ``change_id`` in ``fields``.
+        """Send a change and return the answer; raise `OperatorRequestFailed`.
 
-        With it the same change may be sent to one daemon after another: whichever
-        finds it accepted says so and does not make it again.
+        ``fields`` holds a ``change_id``, so that the same change can safely be sent
+        to one daemon after another: a daemon that finds the change already accepted
+        answers so and does not make it again.
         """
         return self._call("POST", path, {}, fields)
 
     def _call(
         self, method: str, path: str, query: dict[str, str], fields: dict | None
     ) -> dict:
-        maybe_sent = False
-        problem = "no daemon given"
+        may_have_arrived = False
+        last_problem = "no daemon given"
         for daemon in self._daemons:
             try:
                 response = self._pool.request(
@@ -105,17 +108,17 @@
                     ),
                     redirect=False,
                 )
-                return _checked(response)
+                return _parse_answer(response)
             except urllib3.exceptions.NewConnectionError as error:
-                problem = f"{daemon}: {error}"
+                last_problem = f"{daemon}: {error}"
             except HTTPError as error:
-                problem = f"{daemon}: {error}"
-                maybe_sent = fields is not None
-        exit_code = ExitCode.UNKNOWN if maybe_sent else ExitCode.UNAVAILABLE
-        raise OperatorRequestFailed(problem, exit_code, {})
+                last_problem = f"{daemon}: {error}"
+                may_have_arrived = fields is not None
+        exit_code = ExitCode.UNKNOWN if may_have_arrived else ExitCode.UNAVAILABLE
+        raise OperatorRequestFailed(last_problem, exit_code, {})
 
 
-def _checked(response: urllib3.BaseHTTPResponse) -> dict:
+def _parse_answer(response: urllib3.BaseHTTPResponse) -> dict:
     try:
         answer = response.json()
         error = answer.get("error")
@@ -124,18 +127,18 @@
         raise OperatorRequestFailed(message, ExitCode.UNAVAILABLE, {}) from failure
     if error is None and response.status == 200:
         return answer
-    described = (
+    error_fields = (
         error if isinstance(error, dict) else {"type": "", "message": str(error)}
     )
-    exit_code = _EXIT_CODE_BY_ERROR_TYPE.get(described.get("type"), ExitCode.REFUSED)
-    message = f"{described.get('type')}: {described.get('message')}"
+    exit_code = _EXIT_CODE_BY_ERROR_TYPE.get(error_fields.get("type"), ExitCode.REFUSED)
+    message = f"{error_fields.get('type')}: {error_fields.get('message')}"
     raise OperatorRequestFailed(message, exit_code, answer)
 
 
 def operator_command(command: Callable) -> Callable:
-    """Add the options of every operators' command and turn failures to exit codes.
+    """Add the options that all operators' commands have; exit with a code on failure.
 
-    The decorated function gets a client and ``as_json`` before its own arguments.
+    The decorated function receives a client and ``as_json`` before its own arguments.
     """
 
     @click.option(
@@ -169,6 +172,6 @@
     return wrapper
 
 
-def show(value: dict, as_json: bool, lines: list[str]) -> None:
-    """Print an answer, as JSON or as lines for people."""
+def print_answer(value: dict, as_json: bool, lines: list[str]) -> None:
+    """Print ``value`` as JSON, or the lines that present it to a person."""
     click.echo(json.dumps(value, indent=2) if as_json else "\n".join(lines))
--- a/cranberrywick/cli/report.py
+++ b/cranberrywick/cli/report.py
@@ -1,4 +1,4 @@
-"""``cranberrywick report``: what the service promised and what it kept."""
+"""``cranberrywick report``: reports on error budgets, lost requests and latency."""
 
 import json
 import sys
@@ -22,13 +22,13 @@
 
 EXIT_PARTIAL = 3
 EXIT_NO_ANSWER = 4
-# Of a late answer, what its caller still has of it, unless said otherwise.
-LATE_SHARE = 0.25
+# Share of its worth that a late answer still has for its caller, by default.
+DEFAULT_LATE_SHARE = 0.25
 
 
 @click.group()
 def report() -> None:
-    """Report on the fleet."""
+    """Report how well the fleet meets its targets."""
 
 
 @report.command()
@@ -61,7 +61,7 @@
 ) -> None:
     """Show how fast each class spends its error budget, from all daemons.
 
-    A burn of 1 spends the budget exactly; "-" means that nothing was counted.
+    A burn of 1 spends the budget exactly; "-" means that no request was counted.
 
     \b
     Example:
@@ -97,7 +97,7 @@
 @click.option("--worth", "worths", multiple=True, help="ROUTE=WORTH; 1 if not named.")
 @click.option(
     "--late-share",
-    default=LATE_SHARE,
+    default=DEFAULT_LATE_SHARE,
     show_default=True,
     help="Share of its worth that a late answer keeps.",
 )
@@ -118,10 +118,10 @@
     served: float | None,
     plot: Path | None,
 ) -> None:
-    """Show from daemons' logs where requests were lost, and why.
+    """Show how many requests were lost and why, from daemons' logs.
 
-    With --served it also shows what was within reach: the share served had every
-    request that reached a daemon been on time.
+    With --served, also show the share that would have been served if every request
+    that reached a daemon had been on time.
 
     \b
     Example:
@@ -132,15 +132,15 @@
       0  the report is made
       2  the command line is wrong
       3  the report is made, but some lines held no event
-      4  no line told of a request
+      4  no line describes a request
     """
-    lines, unreadable = _read_all(logs)
-    found = losses_of(lines, Weights(_worth_by_route(worths), late_share))
-    click.echo(render_losses(found, unreadable, served), nl=False)
-    if not found.requests:
+    lines, unreadable = _read_logs(logs)
+    loss_report = losses_of(lines, Weights(_worth_by_route(worths), late_share))
+    click.echo(render_losses(loss_report, unreadable, served), nl=False)
+    if not loss_report.requests:
         sys.exit(EXIT_NO_ANSWER)
     if plot is not None:
-        write_loss_plot(found, plot)
+        write_loss_plot(loss_report, plot)
     if unreadable:
         sys.exit(EXIT_PARTIAL)
 
@@ -150,10 +150,10 @@
     "logs", nargs=-1, required=True, type=click.File(encoding="utf-8", errors="replace")
 )
 def latency(logs: tuple[Iterable[str], ...]) -> None:
-    """Show from daemons' logs how soon requests were answered.
+    """Show how soon requests were answered, from daemons' logs.
 
-    First tokens by length of prompt, those of short prompts also by how much long
-    work came with them, and calls by endpoint.
+    Times to the first token are shown by length of prompt, those of short prompts
+    also by how much long work arrived in the same second, and calls by endpoint.
 
     \b
     Example:
@@ -164,18 +164,18 @@
       0  the report is made
       2  the command line is wrong
       3  the report is made, but some lines held no event
-      4  no line told of an answer
+      4  no line describes an answer
     """
-    lines, unreadable = _read_all(logs)
-    found = latency_of(lines)
-    click.echo(render_latency(found, unreadable), nl=False)
-    if not (found.by_length or found.calls_by_endpoint):
+    lines, unreadable = _read_logs(logs)
+    latency_report = latency_of(lines)
+    click.echo(render_latency(latency_report, unreadable), nl=False)
+    if not (latency_report.by_length or latency_report.calls_by_endpoint):
         sys.exit(EXIT_NO_ANSWER)
     if unreadable:
         sys.exit(EXIT_PARTIAL)
 
 
-def _read_all(
+def _read_logs(
     logs: Iterable[Iterable[str]],
 ) -> tuple[list[LogLine], list[UnreadableLine]]:
     lines: list[LogLine] = []
@@ -191,10 +191,10 @@
 
 def _worth_by_route(worths: tuple[str, ...]) -> dict[str, float]:
     worth_by_route = {}
-    for each in worths:
-        route, _, worth = each.rpartition("=")
+    for assignment in worths:
+        route, _, worth = assignment.rpartition("=")
         try:
             worth_by_route[route] = float(worth)
         except ValueError:
-            raise click.BadParameter(f"{each!r} is not ROUTE=WORTH") from None
+            raise click.BadParameter(f"{assignment!r} is not ROUTE=WORTH") from None
     return worth_by_route
--- a/cranberrywick/cli/serve.py
+++ b/cranberrywick/cli/serve.py
@@ -1,4 +1,4 @@
-"""``cranberrywick serve``, ``cranberrywick demo`` and ``cranberrywick standin``."""
+"""``cranberrywick serve``, ``demo`` and ``standin``: run a daemon or a stand-in."""
 
 import signal
 import threading
@@ -21,7 +21,12 @@
 
 
 @click.command()
-@click.option("--settings", required=True, type=click.Path(), help="JSON file.")
+@click.option(
+    "--settings",
+    required=True,
+    type=click.Path(),
+    help="The daemon's settings file, as JSON.",
+)
 def serve(settings: str) -> None:
     """Run the daemon of one entry VM.
 
@@ -42,19 +47,19 @@
     except OSError as error:
         click.echo(f"can't listen: {error}", err=True)
         raise SystemExit(EXIT_PORT_TAKEN) from error
-    stop_asked = threading.Event()
+    stop_requested = threading.Event()
     stop_now = threading.Event()
 
-    def ask_to_stop(*_: object) -> None:
-        if stop_asked.is_set():
+    def request_stop(*_: object) -> None:
+        if stop_requested.is_set():
             stop_now.set()
-        stop_asked.set()
+        stop_requested.set()
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, ask_to_stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, request_stop)
     daemon.start()
     click.echo(f"ready {daemon.address}")
-    stop_asked.wait()
+    stop_requested.wait()
     drain = threading.Thread(target=daemon.drain, daemon=True)
     drain.start()
     while drain.is_alive() and not stop_now.is_set():
@@ -64,7 +69,7 @@
 
 @click.command()
 def demo() -> None:
-    """Start a small fleet in this process and serve three requests through it.
+    """Start a small fleet in this process and send three requests through it.
 
     Example: cranberrywick demo
     """
