--- a/cranberrywick/cli/report.py
+++ b/cranberrywick/cli/report.py
@@ -94,7 +94,12 @@
 @click.argument(
     "logs", nargs=-1, required=True, type=click.File(encoding="utf-8", errors="replace")
 )
-@click.option("--worth", "worths", multiple=True, help="ROUTE=WORTH; 1 if not named.")
+@click.option(
+    "--worth",
+    "worths",
+    multiple=True,
+    help="ROUTE=WORTH; a route that is not named has worth 1.",
+)
 @click.option(
     "--late-share",
     default=DEFAULT_LATE_SHARE,
--- a/cranberrywick/reports/burn.py
+++ b/cranberrywick/reports/burn.py
@@ -159,7 +159,10 @@
 
 
 class BurnCounters:
-    """Request counts of one daemon, by class, objective and time."""
+    """Request counts of one daemon, by class, objective and time.
+
+    ``started_at`` is the time at which the daemon began to count.
+    """
 
     def __init__(self, started_at: float):
         self._started_at = started_at
--- a/cranberrywick/reports/losses.py
+++ b/cranberrywick/reports/losses.py
@@ -32,7 +32,7 @@
 
 REQUEST_ENDED = "request_ended"
 # A late request counts as foreseen when the time it waited plus the predicted time of
-# the first event exceeded this share of its target: it was sent all the same.
+# the first event exceeded this share of its target: the delay was accepted on sending.
 PREDICTED_LATE_SHARE = 0.7
 # A late request that waited for a free place longer than this share of its target
 # counts as late because of the wait.
