--- a/cranberrywick/cli/caller.py
+++ b/cranberrywick/cli/caller.py
@@ -107,7 +107,8 @@
     """Client that sends requests to the fleet that ``entry_urls`` belong to.
 
     ``patience_seconds`` is for how long a request that did not run is tried again,
-    counted from its first attempt. A caller is not safe for use by several threads at once.
+    counted from its first attempt. A caller is not safe for use by several threads
+    at once.
     """
 
     def __init__(
