--- a/cranberrywick/decisions/leases.py
+++ b/cranberrywick/decisions/leases.py
@@ -1,17 +1,18 @@
-"""What a daemon holds of endpoints: the holder's side of capacity leases.
+"""The leases that a daemon holds: the holder's side of capacity leases.
 
 Load pattern: a daemon's work comes in bursts and goes to some dozens of endpoints.
-It asks each steward for slots every few seconds, at once when its demand rises, and
-more and more seldom while the steward has no more to give: under overload every
-daemon always wants more, and asking without a pause would be most of the traffic.
-
-Without a steward's answer a daemon uses its part of an endpoint last heard to be
-warm, so that the loss of a steward does not idle it. Of any other endpoint it uses
-nothing without a lease.
-
-Figures: the shortest interval between demands, 0.1 s, is what a first request may
-wait for a slot, small against a first-token target of 1.7 s; doubling brings it to
-the renewal interval in five steps.
+It sends a demand for slots to each steward every few seconds and at once when it
+wants more. While the steward has no more slots to grant, the interval between the
+demands doubles: under overload every daemon always wants more, and demands sent at a
+constant short interval would be most of the traffic.
+
+When a steward does not answer, a daemon uses its even share of an endpoint that was
+warm by a recent report, so that the loss of a steward does not leave the endpoint
+idle. It uses no other endpoint without a lease.
+
+Figures: the shortest interval between demands, 0.1 s, is how long a first request may
+wait for a slot, which is short compared with a first-token target of 1.7 s. Doubling
+brings the interval to that of the renewals in five steps.
 """
 
 from collections.abc import Iterable
@@ -27,22 +28,27 @@
 
 __all__ = ["HeldLeases", "Usage"]
 
+# Shortest interval between two demands for one endpoint, in seconds.
 FIRST_INTERVAL_SECONDS = 0.1
-# A daemon that holds most of what it wants of one endpoint has others to use.
-RISE_SECONDS = 1.0
-# No answer for so long means that there is no steward to wait for.
-UNANSWERED_SECONDS = 0.5
-# A report older than this does not show that an endpoint is still warm.
+# Interval before a demand that asks for more although at least half of the wanted
+# slots are held, in seconds. It need not be short, since the daemon has other
+# endpoints to use.
+RISE_INTERVAL_SECONDS = 1.0
+# Time without an answer after which the endpoint counts as one without a steward, in
+# seconds.
+STEWARD_TIMEOUT_SECONDS = 0.5
+# Age up to which a report shows that an endpoint is still warm, in seconds.
 WARM_REPORT_SECONDS = 30.0
-# Two monotonic clocks can differ in speed by some hundred parts in a million.
+# Part by which the holder shortens a lease, since monotonic clocks can differ in speed
+# by some hundred parts in a million.
 CLOCK_DRIFT = 0.001
 
 
 class Usage(NamedTuple):
-    """What this daemon does with one endpoint now.
+    """This daemon's use of one endpoint at one moment.
 
-    ``wanted`` are the requests it could have running there, ``in_use`` those that
-    run, ``completed`` those that ended there since the start.
+    ``wanted`` counts the requests that it could have running there, ``in_use`` those
+    that run, and ``completed`` those that ended there since the daemon started.
     """
 
     wanted: int = 0
@@ -51,7 +57,12 @@
 
 
 class _Held:
-    """One endpoint's lease and the demand under way for it."""
+    """The lease on one endpoint and the newest demand for it.
+
+    ``must_ask`` requests a demand at the next opportunity. ``unanswered_since`` is
+    when the first of the demands without an answer was sent, infinite if there is
+    none. ``wanted`` is the number of slots in the newest demand.
+    """
 
     __slots__ = (
         "answered",
@@ -107,11 +118,11 @@
 
     @property
     def endpoint_ids(self) -> Iterable[str]:
-        """The endpoints this daemon uses."""
+        """The identifiers of the endpoints that this daemon uses."""
         return self._held_by_id.keys()
 
     def set_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
-        """Replace the endpoints this daemon uses; leases on others are dropped."""
+        """Replace the endpoints that this daemon uses; drop the leases on others."""
         self._endpoints_by_id = {each.endpoint_id: each for each in endpoints}
         self._held_by_id = {
             endpoint_id: self._held_by_id.get(endpoint_id) or _Held()
@@ -119,24 +130,31 @@
         }
 
     def is_due(self, endpoint_id: str, usage: Usage, now: float) -> bool:
-        """Whether to ask the endpoint's steward now."""
+        """Return whether to send a demand to the endpoint's steward now."""
         held = self._held_by_id[endpoint_id]
-        since = now - held.asked_at
-        if since < FIRST_INTERVAL_SECONDS:
+        elapsed = now - held.asked_at
+        if elapsed < FIRST_INTERVAL_SECONDS:
             return False
-        if held.must_ask or since >= RENEW_SECONDS:
+        if held.must_ask or elapsed >= RENEW_SECONDS:
             return True
         has_too_few = usage.wanted > held.slots_at(now)
         if has_too_few and usage.wanted > held.wanted:
-            is_urgent = 2 * held.slots_at(now) < usage.wanted
-            soon = FIRST_INTERVAL_SECONDS * 2 if is_urgent else RISE_SECONDS
-            held.interval = min(held.interval, soon)
-        return has_too_few and since >= held.interval
+            holds_under_half = 2 * held.slots_at(now) < usage.wanted
+            next_interval = (
+                FIRST_INTERVAL_SECONDS * 2
+                if holds_under_half
+                else RISE_INTERVAL_SECONDS
+            )
+            held.interval = min(held.interval, next_interval)
+        return has_too_few and elapsed >= held.interval
 
     def ask(
         self, endpoint_id: str, steward: str, round: int, usage: Usage, now: float
     ) -> DemandEntry:
-        """Return the demand for one endpoint and wait for its answer only."""
+        """Return a new demand for one endpoint, to be sent to its steward at once.
+
+        From now on `take` accepts only the answer to this demand, from this steward.
+        """
         held = self._held_by_id[endpoint_id]
         has_too_few = usage.wanted > held.slots_at(now)
         held.interval = (
@@ -148,8 +166,9 @@
         held.answered = False
         held.unanswered_since = min(held.unanswered_since, now)
         held.must_ask = False
-        # It falls by halves: a demand that swings from second to second would be
-        # told at each swing, and lent slots would go to and fro.
+        # A lower demand is reached by halving the difference. If it were reported at
+        # once, a demand that swings each second would move slots back and forth
+        # between the daemons.
         held.wanted = max(usage.wanted, (held.wanted + usage.wanted) // 2)
         entry = DemandEntry(
             endpoint_id=endpoint_id,
@@ -167,7 +186,11 @@
     def take(
         self, endpoint_id: str, steward: str, round: int, slots: int, lifetime: float
     ) -> bool:
-        """Take the answer to the newest demand; late and repeated ones are ignored."""
+        """Apply a grant and return whether it answers the newest demand.
+
+        Late and repeated answers are ignored. ``lifetime`` is in seconds and counts
+        from the sending of the demand.
+        """
         held = self._held_by_id.get(endpoint_id)
         if held is None or (held.steward, held.round) != (steward, round):
             return False
@@ -180,12 +203,12 @@
         if slots >= held.wanted:
             held.interval = RENEW_SECONDS
         if held.trouble is not Trouble.NONE:
-            # The answer is from before the steward knows what was seen here.
+            # The steward granted this before it received the report of the trouble.
             held.slots = 0
         return True
 
     def cut(self, endpoint_id: str, slots: int) -> None:
-        """Give up all but ``slots``, as the steward asks, and tell it at once."""
+        """Give up all but ``slots`` and make a demand due, which reports it."""
         held = self._held_by_id.get(endpoint_id)
         if held is None:
             return
@@ -193,10 +216,10 @@
         held.must_ask = True
 
     def record_trouble(self, endpoint_id: str, trouble: Trouble, now: float) -> None:
-        """Stop sending to an endpoint that seems cold, until its steward answers.
+        """Use no slots of an endpoint that seems cold until its steward answers.
 
-        The steward's next report may be a second away, and each request in between
-        falls on an endpoint that can't bear it.
+        The endpoint's next report may be a second away, and until then each request
+        would go to an endpoint that can't carry it.
         """
         held = self._held_by_id.get(endpoint_id)
         if held is None or trouble is Trouble.NONE:
@@ -206,7 +229,7 @@
         self.cut(endpoint_id, 0)
 
     def record_load(self, load: EndpointLoad) -> None:
-        """Take the report that came with an answer."""
+        """Apply the load report that came with an answer, unless it is outdated."""
         held = self._held_by_id.get(load.endpoint_id)
         if held is None:
             return
@@ -214,13 +237,18 @@
             held.load = load
 
     def leased(self, endpoint_id: str, now: float) -> int:
-        """Return the slots of an endpoint that a steward has leased to this daemon."""
+        """Return the number of slots that this daemon has on lease at an endpoint."""
         return self._held_by_id[endpoint_id].slots_at(now)
 
     def share(
         self, endpoint_id: str, daemon_ids: Iterable[str], now: float
     ) -> Share | None:
-        """Return what this daemon may use of an endpoint, None for nothing."""
+        """Return this daemon's share of an endpoint, or None if it may use nothing.
+
+        The share is the lease. Without one, and if the steward does not answer, it is
+        an even part of an endpoint that is warm by a recent report, divided between
+        ``daemon_ids``.
+        """
         held = self._held_by_id[endpoint_id]
         slots = held.slots_at(now)
         if slots > 0:
@@ -233,7 +261,7 @@
 
     @staticmethod
     def _may_fall_back(held: _Held, now: float) -> bool:
-        if now - held.unanswered_since < UNANSWERED_SECONDS:
+        if now - held.unanswered_since < STEWARD_TIMEOUT_SECONDS:
             return False
         if held.load is None or held.load.phase is not EndpointPhase.WARM:
             return False
