--- a/cranberrywick/decisions/membership.py
+++ b/cranberrywick/decisions/membership.py
@@ -1,24 +1,27 @@
-"""Who is taken to be alive: gossip with probes, suspicion and refutation.
+"""Failure detection: gossip membership with probes, suspicion and refutation.
+
+The protocol is of the SWIM family (Das, Gupta and Motivala, 2002).
 
 Load pattern: many daemons, of which a few fail or are replaced each hour, on a
-network that loses datagrams and is cut at times. One probe a second by each daemon,
-of members in a shuffled order, finds a failure in a time that does not depend on
-how many daemons there are, at a cost a daemon that does not either. Heartbeats from
-everyone to everyone would cost each of 320 daemons 319 messages a second both ways.
-A member that does not answer is asked through two others, so that one lossy path
-does not cost a healthy daemon its place, and is then suspected for some seconds,
-in which it can refute.
-
-Without the suspicion, a daemon that stands still for a second leaves and joins, and
-each change moves stewards and entry addresses. Without incarnations, late news of
-an earlier death takes out a daemon that has restarted.
-
-Figures: a probe a second and a suspicion of three seconds put a sudden death about
-five seconds away, within a lease of capacity. News is repeated ``3 * log2(members)``
-times, which reaches all members but for one in some thousands even at ten per cent
-of loss; the periodic exchange of whole lists repairs the rest.
-
-All times are monotonic: a wall clock that jumps changes nothing here.
+network that loses datagrams and is partitioned at times. Each daemon sends one probe
+a second, to the members in a shuffled order. Both the time to detect a failure and
+the cost for each daemon are then independent of the number of daemons. Heartbeats
+from every daemon to every other would cost each of 320 daemons 319 messages a second
+in each direction. A member that does not answer is probed through two relays, so that
+one lossy path does not get a healthy daemon declared dead. If that fails as well, it
+is suspect for some seconds, during which it can refute the suspicion.
+
+Without the suspicion, a daemon that is suspended for a second leaves and rejoins, and
+each change moves stewards and entry addresses. Without incarnations, a late update
+about an earlier death removes a daemon that has restarted.
+
+Figures: with a probe a second and a suspicion of three seconds, a sudden death is
+detected in about five seconds, within the lifetime of a capacity lease. Each update
+is sent ``3 * log2(members)`` times. Even with ten per cent of the messages lost, it
+misses only one member in some thousands; the periodic exchange of whole member lists
+repairs the rest.
+
+All times are monotonic, so that a jump of the wall clock has no effect.
 """
 
 import math
@@ -31,20 +34,26 @@
 
 __all__ = ["Member", "Membership", "Status"]
 
+# Interval between two regular probes, in seconds.
 PROBE_SECONDS = 1.0
+# Time after which a suspect that has not refuted is declared dead, in seconds.
 SUSPICION_SECONDS = 3.0
-# A dead member's record is kept so that late news does not bring it back to life.
-FORGET_DEAD_SECONDS = 600.0
-# So many daemons on average ask a member at once when they hear it suspected.
-ASKERS_OF_SUSPECT = 10
+# Time for which a dead member's record is kept, in seconds, so that a late update does
+# not add the member again as alive.
+DEAD_RETENTION_SECONDS = 600.0
+# Average number of daemons that probe a member at once after an update that it is
+# suspect.
+URGENT_PROBERS = 10
 URGENT_PROBES_PER_TICK = 10
-REPEATS_FACTOR = 3
-# This long without a tick means that this process stood still, not the others.
-PAUSE_SECONDS = 3 * PROBE_SECONDS
+# Number of times an update is sent, as a multiple of log2 of the number of members.
+RETRANSMIT_MULTIPLIER = 3
+# Interval between two ticks, in seconds, from which on this process itself is taken to
+# have been suspended, and not the members whose answers are overdue.
+OWN_PAUSE_SECONDS = 3 * PROBE_SECONDS
 
 
 class Status(IntEnum):
-    """What is thought of a member; of equal age the greater word wins."""
+    """The state of a member; of two updates of equal age the higher value holds."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -53,10 +62,10 @@
 
 
 class Member(NamedTuple):
-    """One daemon, as told by itself or, when suspect or dead, by others.
+    """The record of one daemon, set by itself or, if suspect or dead, by others.
 
     ``incarnation`` grows with each start of the process, ``revision`` with each
-    word the daemon says about itself since.
+    change that the daemon makes to its own record after the start.
     """
 
     daemon_id: str
@@ -70,7 +79,7 @@
 
     @property
     def age_rank(self) -> tuple[int, int, int]:
-        """The order of words about one daemon: the greater one holds."""
+        """The sort key of the updates about one daemon; the highest one holds."""
         return (self.incarnation, self.revision, int(self.status))
 
 
@@ -90,8 +99,8 @@
         self._members_by_id = {myself.daemon_id: myself}
         self._suspected_by_id: dict[str, float] = {}
         self._dead_by_id: dict[str, float] = {}
-        self._repeats_by_id: dict[str, int] = {}
-        self._urgent: list[str] = []
+        self._sends_left_by_id: dict[str, int] = {}
+        self._urgent_ids: list[str] = []
         self._probes = ProbeSchedule(rng)
         self._last_tick = now
         self.changes = 0
@@ -104,12 +113,12 @@
 
     @property
     def members_by_id(self) -> Mapping[str, Member]:
-        """Every record kept, dead ones too."""
+        """All records, including those of dead members."""
         return self._members_by_id
 
     @property
     def others(self) -> list[Member]:
-        """The other members that are not dead."""
+        """The members other than this daemon that are not dead."""
         return [
             member
             for member in self._members_by_id.values()
@@ -117,38 +126,42 @@
         ]
 
     def heard(self, daemon_id: str) -> None:
-        """Note a verified message of the member itself."""
+        """Record that a verified message arrived from the member itself."""
         member = self._members_by_id.get(daemon_id)
         if member is not None and member.status is Status.LEAVING:
-            # It has no record of being suspected that it could refute.
+            # A suspected member that is leaving keeps that status in its record, so it
+            # receives no update to refute. Any message from it ends the suspicion.
             self._suspected_by_id.pop(daemon_id, None)
 
     def tick(self, now: float) -> list[Probe | ProbeThrough]:
-        """Return the probes to send now; call several times a second."""
-        self._forgive_own_pause(now)
+        """Return the probes to send now and update the members' states.
+
+        Call this several times a second.
+        """
+        self._discount_own_pause(now)
         actions = self._expire_pending(now)
         self._expire_suspects(now)
-        self._forget_dead(now)
+        self._evict_dead(now)
         return actions + self._probe_urgent(now)
 
-    def _forgive_own_pause(self, now: float) -> None:
-        # After SIGSTOP or a starved VM every answer seems late at once. Without
-        # this the daemon that stood still declares all others dead and gossips
-        # it. Dropping what was pending is enough: a real death is found by the
-        # next probes.
+    def _discount_own_pause(self, now: float) -> None:
+        # After SIGSTOP or on a VM without CPU time all answers are overdue at once.
+        # Without this, the daemon that was suspended would declare all others dead
+        # and publish it. Dropping the pending probes is enough, since the next ones
+        # detect a real death.
         gap = now - self._last_tick
         self._last_tick = now
-        if gap < PAUSE_SECONDS:
+        if gap < OWN_PAUSE_SECONDS:
             return
-        self._probes.forget_pending()
+        self._probes.drop_pending()
         for daemon_id in self._suspected_by_id:
             self._suspected_by_id[daemon_id] += gap
 
     def _expire_pending(self, now: float) -> list[ProbeThrough]:
-        through, silent = self._probes.overdue(self._other_ids(), now)
-        for daemon_id in silent:
+        relayed, unanswered = self._probes.overdue(self._other_ids(), now)
+        for daemon_id in unanswered:
             self._suspect(daemon_id, now)
-        return through
+        return relayed
 
     def _other_ids(self) -> list[str]:
         return [member.daemon_id for member in self.others]
@@ -172,64 +185,66 @@
         self._dead_by_id[daemon_id] = now
         self._store(member._replace(status=Status.DEAD))
 
-    def _forget_dead(self, now: float) -> None:
+    def _evict_dead(self, now: float) -> None:
         for daemon_id, since in list(self._dead_by_id.items()):
-            if now - since >= FORGET_DEAD_SECONDS:
+            if now - since >= DEAD_RETENTION_SECONDS:
                 del self._dead_by_id[daemon_id]
                 del self._members_by_id[daemon_id]
                 self.changes += 1
-                self._repeats_by_id.pop(daemon_id, None)
+                self._sends_left_by_id.pop(daemon_id, None)
 
     def _probe_urgent(self, now: float) -> list[Probe]:
-        urgent = self._urgent[:URGENT_PROBES_PER_TICK]
-        del self._urgent[:URGENT_PROBES_PER_TICK]
-        return [self._probes.start(daemon_id, now) for daemon_id in urgent]
+        urgent_ids = self._urgent_ids[:URGENT_PROBES_PER_TICK]
+        del self._urgent_ids[:URGENT_PROBES_PER_TICK]
+        return [self._probes.start(daemon_id, now) for daemon_id in urgent_ids]
 
     def next_probe(self, now: float) -> Probe | None:
-        """Return the probe of this period, or None without other members."""
+        """Return the probe of this second, or None without other members."""
         return self._probes.next(self._other_ids(), now)
 
     def answered(self, round: int, daemon_id: str) -> None:
-        """Settle the probe of this round."""
+        """Record the answer of a member to the probe of this round."""
         self._probes.answered(round, daemon_id)
 
     def apply_update(self, update: Member, now: float) -> bool:
-        """Take a word about a member and say whether it was newer than known."""
+        """Merge an update about a member and return whether it changed the record."""
         if update.daemon_id == self._self_id:
             return self._refute(update)
-        known = self._members_by_id.get(update.daemon_id)
-        if known is None and update.status is Status.DEAD:
+        current = self._members_by_id.get(update.daemon_id)
+        if current is None and update.status is Status.DEAD:
             return False
-        update = self._doubt(update, known, now)
-        if known is not None and update.age_rank <= known.age_rank:
+        update = self._demote_death(update, current, now)
+        if current is not None and update.age_rank <= current.age_rank:
             return False
         self._suspected_by_id.pop(update.daemon_id, None)
         self._dead_by_id.pop(update.daemon_id, None)
         if update.status is Status.SUSPECT:
             self._suspected_by_id[update.daemon_id] = now
-            self._ask_urgently(update.daemon_id)
+            self._probe_soon(update.daemon_id)
         self._store(update)
         return True
 
-    def _doubt(self, update: Member, known: Member | None, now: float) -> Member:
-        # When a partition heals, each side hears from the other that its own
-        # members are dead. Believed at once, that empties the fleet until every
-        # one has refuted, and all stewards move twice. So another's word of death
-        # only starts a suspicion here: a dead member can't refute it, a live one
-        # is asked and does.
-        if update.status is not Status.DEAD or known.status is Status.DEAD:
+    def _demote_death(
+        self, update: Member, current: Member | None, now: float
+    ) -> Member:
+        # When a partition heals, each side receives updates from the other that its
+        # own members are dead. Applied as they are, these would remove every member
+        # until it has refuted, and all stewards would move twice. So an update from
+        # another daemon that a member is dead only makes it a suspect here: a dead
+        # member can't refute, and a live one is probed and does.
+        if update.status is not Status.DEAD or current.status is Status.DEAD:
             return update
-        if update.age_rank > known.age_rank:
+        if update.age_rank > current.age_rank:
             self._suspected_by_id.setdefault(update.daemon_id, now)
         return update._replace(status=Status.SUSPECT)
 
-    def _ask_urgently(self, daemon_id: str) -> None:
-        if self._rng.random() * len(self._members_by_id) < ASKERS_OF_SUSPECT:
-            self._urgent.append(daemon_id)
+    def _probe_soon(self, daemon_id: str) -> None:
+        if self._rng.random() * len(self._members_by_id) < URGENT_PROBERS:
+            self._urgent_ids.append(daemon_id)
 
     def _refute(self, update: Member) -> bool:
-        # News of this daemon's own death, by peers that could not reach it for a
-        # while: without a word that outranks it, it stays out for good.
+        # Peers that could not reach this daemon for a while have declared it suspect
+        # or dead. It stays excluded until it publishes a record that outranks theirs.
         myself = self.myself
         if update.age_rank <= myself.age_rank:
             return False
@@ -239,16 +254,16 @@
         return True
 
     def raise_incarnation(self, newest_known: int) -> None:
-        """Go above an incarnation that peers remember of this daemon.
+        """Raise this daemon's incarnation above the newest one that peers have.
 
-        A VM whose clock was set back starts with a lower incarnation than before,
-        and peers would take all it says for late news.
+        A daemon on a VM whose clock was set back starts with a lower incarnation than
+        before, and peers would ignore all its updates as outdated.
         """
         if newest_known > self.myself.incarnation:
             self._store(self.myself._replace(incarnation=newest_known + 1, revision=0))
 
     def leave(self) -> None:
-        """Tell that this daemon takes no new callers."""
+        """Mark this daemon as leaving, so that no new callers are sent to it."""
         myself = self.myself
         if myself.status is not Status.LEAVING:
             self._store(
@@ -257,42 +272,48 @@
 
     def _store(self, member: Member) -> None:
         self._members_by_id[member.daemon_id] = member
-        self._repeats_by_id[member.daemon_id] = self._repeats()
+        self._sends_left_by_id[member.daemon_id] = self._sends_per_update()
         self.changes += 1
 
-    def _repeats(self) -> int:
-        return REPEATS_FACTOR * math.ceil(math.log2(len(self._members_by_id) + 1))
+    def _sends_per_update(self) -> int:
+        return RETRANSMIT_MULTIPLIER * math.ceil(
+            math.log2(len(self._members_by_id) + 1)
+        )
 
     def updates_for(self, daemon_id: str, limit: int) -> list[Member]:
-        """Return what to tell this member, least told first.
+        """Return the updates to send to this member, least often sent first.
 
-        What is thought ill of the member itself comes before all, so that it can
-        refute.
+        There are at most ``limit``, and each counts as sent. If the member itself is
+        suspect or dead here, its own record comes first, so that it can refute.
         """
         updates = []
-        about_it = self._members_by_id.get(daemon_id)
-        if about_it is not None and about_it.status in (Status.SUSPECT, Status.DEAD):
-            updates.append(about_it)
-        untold = sorted(self._repeats_by_id.items(), key=lambda item: -item[1])
-        for other_id, left in untold[: max(0, limit - len(updates))]:
+        own_record = self._members_by_id.get(daemon_id)
+        if own_record is not None and own_record.status in (
+            Status.SUSPECT,
+            Status.DEAD,
+        ):
+            updates.append(own_record)
+        pending = sorted(self._sends_left_by_id.items(), key=lambda item: -item[1])
+        for other_id, left in pending[: max(0, limit - len(updates))]:
             if other_id != daemon_id:
                 updates.append(self._members_by_id[other_id])
-            self._spend_repeat(other_id, left)
+            self._count_send(other_id, left)
         return updates
 
-    def _spend_repeat(self, daemon_id: str, left: int) -> None:
+    def _count_send(self, daemon_id: str, left: int) -> None:
         if left <= 1:
-            del self._repeats_by_id[daemon_id]
+            del self._sends_left_by_id[daemon_id]
         else:
-            self._repeats_by_id[daemon_id] = left - 1
+            self._sends_left_by_id[daemon_id] = left - 1
 
     def merge_members(self, members: Iterable[Member], now: float) -> None:
-        """Take a peer's whole list.
+        """Merge a peer's whole member list.
 
-        What is new in it is not passed on as news: whoever gave the list does so.
-        A joining daemon would otherwise repeat every member's record twenty times.
+        Records that are new here are not sent on as updates, since the peer sends
+        them itself. A joining daemon would otherwise send every member's record some
+        twenty times.
         """
         for member in members:
             is_new = self.apply_update(member, now)
             if is_new and member.daemon_id != self._self_id:
-                self._repeats_by_id.pop(member.daemon_id, None)
+                self._sends_left_by_id.pop(member.daemon_id, None)
