--- a/cranberrywick/decisions/orders.py
+++ b/cranberrywick/decisions/orders.py
@@ -1,24 +1,26 @@
-"""Which endpoint is told to load which model, version or adapter, or to change role.
+"""Which endpoint is ordered to load which model, version or adapter, or a new role.
 
 Load pattern: operators put a new version first in a model's list, a model is added,
 or demand moves from one model to another for longer than a burst. Each order empties
 an endpoint's cache and leaves it cold, and each load reads the weight store, whose
 rate is limited.
 
-Without this: a new version ordered everywhere at once leaves the whole fleet cold
-together, and every caller waits; demand that swings each minute has endpoints load
-models all day; a model's last warm endpoint is taken from it.
-
-Three bounds answer it. At most a tenth of the engines, and one of a failure domain,
-are cold or under an order at once. A model keeps its last warm endpoint while
-another can be taken. A move by demand needs a gap that has lasted, and an endpoint
-that was moved stays for a while.
-
-Grounds for the figures: a tenth keeps the rest below 90% load at 80%; at 16 engines
-it is one at a time. A load takes minutes, so a gap must last a minute, six times the
-burst of ten seconds, and a move must pay for ten minutes. Load reports lag by
-seconds, far below both. The gap between 0.9 and 0.5 is the dead band: after a move
-among five engines the two models are nearer to each other, not crossed over.
+What goes wrong without limits: a new version that is ordered everywhere at once makes
+the whole fleet cold at the same time, and every caller waits. If demand swings each
+minute, endpoints load models all day. A model can lose its last warm endpoint.
+
+There are three limits. At most a tenth of the engines, and one in each failure
+domain, are cold or under an order at the same time. A model keeps its last warm
+endpoint as long as another can be ordered instead. A move from one model to another
+requires an imbalance in demand that has lasted, and an endpoint that was moved is not
+moved again for some time.
+
+Figures: with a tenth of the engines out at a utilisation of 80%, the others stay below
+90%. Of 16 engines it is one at a time. A load takes minutes, so an imbalance must last
+a minute, six times a burst of ten seconds, and a moved endpoint stays for ten minutes
+to be worth its load. Load reports lag by seconds, far less than either. The range
+between utilisations of 0.5 and 0.9 is the dead band: after a move among five engines
+the utilisations of the two models are closer together, but not reversed.
 """
 
 from collections import Counter
@@ -37,24 +39,27 @@
     "busy_limit",
 ]
 
-# The part of the engines that may be cold or under an order at once.
+# Share of the engines that may be cold or under an order at the same time.
 BUSY_SHARE = 0.1
-# A model above the first gets an endpoint from a model below the second.
+# A model above the first utilisation gets an endpoint from a model below the second.
 BUSY_UTILISATION = 0.9
 IDLE_UTILISATION = 0.5
-GAP_SECONDS = 60.0
-STAY_SECONDS = 600.0
+# Time for which an imbalance, or the lack of any engine for a model, must last before
+# an engine is moved, in seconds.
+IMBALANCE_SECONDS = 60.0
+# Shortest time between two moves of the same engine, in seconds.
+MIN_STAY_SECONDS = 600.0
 
 
 class OrderKind(StrEnum):
-    """What an endpoint can be told."""
+    """The commands that an endpoint can be given."""
 
     LOAD_MODEL = "load_model"
     SET_ROLE = "set_role"
 
 
 class Order(NamedTuple):
-    """An order in terms of the state that is wanted, so that twice is as once."""
+    """A command to an endpoint, stated as the wanted state and thus idempotent."""
 
     endpoint_id: str
     kind: OrderKind
@@ -65,10 +70,10 @@
 
 
 class EngineView(NamedTuple):
-    """An engine as its last report shows it.
+    """An engine's state by its last report, and what it may or should become.
 
-    ``loadable`` are the models its kind may load; ``wanted_role`` is None where any
-    role will do.
+    ``loadable`` lists the models that its kind may load. ``wanted_role`` is None if
+    any role will do.
     """
 
     endpoint_id: str
@@ -82,12 +87,16 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether it can't bear its whole load now."""
+        """Whether the engine is not warm and so can't carry its full load."""
         return self.phase is not EndpointPhase.WARM
 
 
 class ModelDemand(NamedTuple):
-    """A model as the operators want it; ``utilisation`` is of its engines now."""
+    """The version and adapters that operators want of a model, and its load.
+
+    ``utilisation`` is the present one of the engines that hold the model, 1.0 for
+    full.
+    """
 
     name: str
     version: str
@@ -96,9 +105,10 @@
 
 
 class OrderPlanner:
-    """Plans orders from what is reported; times are monotonic seconds.
+    """Plans orders from the engines' reports; times are in monotonic seconds.
 
-    Daemons that see the same plan the same, in the order of endpoints' names.
+    Endpoints are considered in the order of their identifiers, so that daemons with
+    the same reports plan the same orders.
 
     >>> planner = OrderPlanner()
     >>> planner.plan(engines, [ModelDemand("drafter", "2", (), 0.4)], now=0.0)
@@ -107,7 +117,7 @@
 
     def __init__(self):
         self._missing_since: dict[str, float] = {}
-        self._gap_since: dict[tuple[str, str], float] = {}
+        self._imbalance_since: dict[tuple[str, str], float] = {}
         self._moved_at: dict[str, float] = {}
 
     def plan(
@@ -119,16 +129,16 @@
     ) -> list[Order]:
         """Return the orders to give now.
 
-        ``may_move`` is False where only a part of the engines is in view: a model
-        that none of them holds may be held by others.
+        ``may_move`` must be False if ``engines`` is only a part of the engines, since
+        a model that none of them holds may be held by others.
         """
         wanted_by_name = {model.name: model for model in models}
-        room = _Room(engines)
+        limits = _OrderLimits(engines)
         moves = self._moves(engines, wanted_by_name, now) if may_move else {}
         orders = []
         for engine in sorted(engines, key=lambda engine: engine.endpoint_id):
             order = moves.get(engine.endpoint_id) or _repair(engine, wanted_by_name)
-            if order is not None and room.take(engine, order):
+            if order is not None and limits.allow(engine, order):
                 orders.append(order)
                 if engine.endpoint_id in moves:
                     self._moved_at[engine.endpoint_id] = now
@@ -142,39 +152,41 @@
     ) -> dict[str, Order]:
         """Return at most one order that moves an engine to another model."""
         held = {name for engine in engines for name in engine.version_by_model}
-        if missing := self._long_missing(set(wanted_by_name) - held, now):
+        if missing := self._lastingly_missing(set(wanted_by_name) - held, now):
             return self._move_to(missing[0], engines, wanted_by_name, now, None)
         by_load = sorted(wanted_by_name.values(), key=lambda model: model.utilisation)
         if not by_load:
             return {}
         idle, busy = by_load[0], by_load[-1]
-        if not self._gap_lasts(idle, busy, now):
+        if not self._imbalance_lasts(idle, busy, now):
             return {}
         return self._move_to(busy.name, engines, wanted_by_name, now, idle.name)
 
-    def _long_missing(self, missing: set[str], now: float) -> list[str]:
-        """Return the models that none has held for a while.
+    def _lastingly_missing(self, missing: set[str], now: float) -> list[str]:
+        """Return the models that no engine has held for ``IMBALANCE_SECONDS``.
 
-        An engine that starts again holds nothing for a moment, and a daemon that
-        starts has not heard of all.
+        A shorter absence means little: an engine that restarts holds no model for a
+        moment, and a daemon that starts does not have the reports of all engines yet.
         """
         since = self._missing_since
         self._missing_since = {name: since.get(name, now) for name in missing}
         return sorted(
             name
             for name, seen_at in self._missing_since.items()
-            if now - seen_at >= GAP_SECONDS
+            if now - seen_at >= IMBALANCE_SECONDS
         )
 
-    def _gap_lasts(self, idle: ModelDemand, busy: ModelDemand, now: float) -> bool:
+    def _imbalance_lasts(
+        self, idle: ModelDemand, busy: ModelDemand, now: float
+    ) -> bool:
         pair = (idle.name, busy.name)
-        is_gap = (
+        is_imbalance = (
             busy.utilisation > BUSY_UTILISATION and idle.utilisation < IDLE_UTILISATION
         )
-        since = self._gap_since.get(pair, now)
-        # Only the present pair is remembered: one that comes and goes starts anew.
-        self._gap_since = {pair: since} if is_gap else {}
-        return is_gap and now - since >= GAP_SECONDS
+        since = self._imbalance_since.get(pair, now)
+        # Only the present pair is kept: after an interruption its time starts again.
+        self._imbalance_since = {pair: since} if is_imbalance else {}
+        return is_imbalance and now - since >= IMBALANCE_SECONDS
 
     def _move_to(
         self,
@@ -184,7 +196,11 @@
         now: float,
         source: str | None,
     ) -> dict[str, Order]:
-        """Move the engine whose present models can best spare it."""
+        """Return an order for the engine whose present models can best spare it.
+
+        If ``source`` is given, the engine is one that holds this model. The result
+        is empty if no engine can be moved.
+        """
         candidates = [
             engine
             for engine in engines
@@ -192,8 +208,8 @@
             and model not in engine.version_by_model
             and not engine.is_busy
             and (source is None or source in engine.version_by_model)
-            and now - self._moved_at.get(engine.endpoint_id, -STAY_SECONDS)
-            >= STAY_SECONDS
+            and now - self._moved_at.get(engine.endpoint_id, -MIN_STAY_SECONDS)
+            >= MIN_STAY_SECONDS
         ]
         if not candidates:
             return {}
@@ -215,7 +231,7 @@
 def _repair(
     engine: EngineView, wanted_by_name: Mapping[str, ModelDemand]
 ) -> Order | None:
-    """Return what brings an engine to the wanted version, adapters and role."""
+    """Return the next order toward an engine's wanted version, adapters and role."""
     for name, version in sorted(engine.version_by_model.items()):
         wanted = wanted_by_name.get(name)
         if wanted is None:
@@ -233,8 +249,8 @@
     return None
 
 
-class _Room:
-    """How many more engines may be made cold now, and which."""
+class _OrderLimits:
+    """Keeps count of the engines that may still be made cold by one plan."""
 
     def __init__(self, engines: Sequence[EngineView]):
         self._left = busy_limit(len(engines)) - sum(e.is_busy for e in engines)
@@ -242,8 +258,8 @@
         self._holders = _warm_holders(engines)
         self._held_once = _held_once(engines)
 
-    def take(self, engine: EngineView, order: Order) -> bool:
-        """Say whether the order may be given, and count it."""
+    def allow(self, engine: EngineView, order: Order) -> bool:
+        """Return whether the order may be given, and count it if so."""
         if engine.is_busy or self._left <= 0:
             return False
         if engine.failure_domain in self._busy_domains:
@@ -257,25 +273,27 @@
         return True
 
     def _is_last(self, name: str, order: Order) -> bool:
-        """Say whether the order would leave a model without a warm engine."""
+        """Return whether the order would leave a model without a warm engine."""
         if name == order.model and name in self._held_once:
-            # Its only engine: it must load now, or its version never changes.
+            # The only engine of a model may load a new version of it, since the
+            # version would otherwise never change.
             return False
         return self._holders[name] <= 1
 
 
 def busy_limit(engines: int) -> int:
-    """Return how many of so many engines may be cold or under an order at once."""
+    """Return how many of ``engines`` may be cold or under an order at once."""
     return max(1, int(engines * BUSY_SHARE))
 
 
 def _held_once(engines: Iterable[EngineView]) -> set[str]:
-    """Return the models that a single engine holds."""
+    """Return the models that exactly one engine holds."""
     counts = Counter(name for engine in engines for name in engine.version_by_model)
     return {name for name, count in counts.items() if count == 1}
 
 
 def _warm_holders(engines: Iterable[EngineView]) -> dict[str, int]:
+    """Return the number of warm engines that hold each model."""
     holders: dict[str, int] = {}
     for engine in engines:
         for name in engine.version_by_model:
--- a/tests/test_orders_decisions.py
+++ b/tests/test_orders_decisions.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from cranberrywick.decisions.orders import (
-    GAP_SECONDS,
-    STAY_SECONDS,
+    IMBALANCE_SECONDS,
+    MIN_STAY_SECONDS,
     EngineView,
     ModelDemand,
     Order,
@@ -70,7 +70,7 @@
         assert planner.plan(engines, models, now) == []
     assert planner.plan(engines, level, 600.0) == []
     assert planner.plan(engines, gap, 1000.0) == []
-    orders = planner.plan(engines, gap, 1000.0 + GAP_SECONDS)
+    orders = planner.plan(engines, gap, 1000.0 + IMBALANCE_SECONDS)
     assert orders == [Order("engine-00", OrderKind.LOAD_MODEL, "reviewer", "1")]
 
 
@@ -80,13 +80,13 @@
     gap = [wanted(utilisation=0.2), wanted("reviewer", utilisation=0.95)]
     back = [wanted(utilisation=0.95), wanted("reviewer", utilisation=0.2)]
     planner.plan(views, gap, 0.0)
-    assert planner.plan(views, gap, GAP_SECONDS)[0].endpoint_id == "engine-00"
+    assert planner.plan(views, gap, IMBALANCE_SECONDS)[0].endpoint_id == "engine-00"
     moved = [engine(0, "reviewer"), engine(1), *views[2:]]
     planner.plan(moved, back, 100.0)
     others = [order.endpoint_id for order in planner.plan(moved, back, 300.0)]
     assert others == ["engine-02"]
     alone = [engine(0, "reviewer"), engine(1), engine(2, phase=COLD)]
-    assert planner.plan(alone, back, STAY_SECONDS) == []
+    assert planner.plan(alone, back, MIN_STAY_SECONDS) == []
 
 
 def test_a_model_that_no_engine_holds_is_loaded_where_it_is_spared_best():
@@ -95,10 +95,10 @@
     views = [view._replace(loadable=(*MODELS, "new")) for view in views]
     planner = OrderPlanner()
     assert planner.plan(views, three, 0.0) == []
-    assert planner.plan(views, three, GAP_SECONDS, may_move=False) == []
+    assert planner.plan(views, three, IMBALANCE_SECONDS, may_move=False) == []
     # With one engine a model, none is taken from another.
-    assert planner.plan(views[:2], three, GAP_SECONDS) == []
-    orders = planner.plan(views, three, GAP_SECONDS)
+    assert planner.plan(views[:2], three, IMBALANCE_SECONDS) == []
+    orders = planner.plan(views, three, IMBALANCE_SECONDS)
     assert orders == [Order("engine-01", OrderKind.LOAD_MODEL, "new", "7")]
 
 
