--- a/cranberrywick/decisions/orphans.py
+++ b/cranberrywick/decisions/orphans.py
@@ -1,15 +1,15 @@
-"""Which streams and reservations at an engine belong to nobody any more.
+"""Detection of streams and reservations at an engine whose owner is gone.
 
 Load pattern: a daemon is killed in the middle of an import, or a cancel is lost.
-Without this, the engine keeps the memory until a long time-to-live ends, or for
-good, and serves less with every failure.
-
-Grounds for the figures: an owner that is surely gone (its daemon has started again,
-or says itself that the request has ended) is given ``GONE_SECONDS``, more than a
-release takes that is on its way. A daemon that is merely not heard may only be cut
-off from this one, and regions lose each other for minutes: its reservations wait
-``SILENT_SECONDS`` and its streams are never taken while they have a reader. A wrong
-guess costs that request a typed failure, never a wrong answer.
+Without this, the engine keeps the memory until a long time-to-live ends, or for ever,
+and serves less with every failure.
+
+Figures: if the owner is certainly gone, since its daemon has restarted or itself
+reports that the request has ended, the item is released after ``GONE_SECONDS``, which
+is longer than a release in transit takes. A silent daemon may only be partitioned from
+this one, and regions lose contact with each other for minutes. Its reservations are
+kept for ``SILENT_SECONDS``, and its streams as long as they have a reader. A release
+by mistake costs the request a typed failure, never a wrong answer.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,12 +18,14 @@
 
 __all__ = ["Listed", "ListedKind", "OrphanTracker", "Owner", "OwnerState"]
 
+# Time for which an item is kept after its owner is known to be gone, in seconds.
 GONE_SECONDS = 5.0
+# Time for which an item without readers is kept while its owner is silent, in seconds.
 SILENT_SECONDS = 120.0
 
 
 class Owner(NamedTuple):
-    """Who holds something at an engine.
+    """The request, and the run of a daemon, that holds an item at an engine.
 
     >>> Owner.parse(str(Owner("entry-1", 7, "r42")))
     Owner(daemon_id='entry-1', incarnation=7, request_id='r42')
@@ -38,7 +40,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Owner | None":
-        """Return the owner, or None when ``text`` was not written by a daemon."""
+        """Return the owner, or None if ``text`` does not have a daemon's format."""
         parts = text.split("/", 2)
         if len(parts) != 3 or not parts[1].isdigit():
             return None
@@ -46,7 +48,7 @@
 
 
 class OwnerState(StrEnum):
-    """What is known of an owner."""
+    """Whether an owner still exists, as far as this daemon can determine."""
 
     LIVE = "live"
     GONE = "gone"
@@ -54,7 +56,7 @@
 
 
 class ListedKind(StrEnum):
-    """Which of an engine's lists an item stands in."""
+    """The list of an engine that an item is in."""
 
     STREAM = "streams"
     EXPORT = "exports"
@@ -62,7 +64,7 @@
 
 
 class Listed(NamedTuple):
-    """One item that an engine says it holds; ``readers`` counts open connections."""
+    """One item that an engine lists; ``readers`` counts its open connections."""
 
     endpoint_id: str
     kind: ListedKind
@@ -72,7 +74,10 @@
 
 
 class OrphanTracker:
-    """Remembers since when each item has had no live owner."""
+    """Records since when each item has had no live owner.
+
+    ``state_of`` returns the present state of an owner.
+    """
 
     def __init__(self, state_of: Callable[[Owner], OwnerState]):
         self._state_of = state_of
@@ -81,7 +86,10 @@
     def orphans(
         self, endpoint_id: str, items: Iterable[Listed], now: float
     ) -> list[Listed]:
-        """Take one engine's whole list and return what to release there now."""
+        """Return the items to release at one engine, given the complete list of them.
+
+        ``now`` is in monotonic seconds.
+        """
         kept: dict[Listed, float] = {}
         orphans = []
         for item in items:
@@ -96,10 +104,10 @@
         return orphans
 
     def _grace(self, item: Listed) -> float | None:
-        """Return how long an item may stay without its owner; None for ever."""
+        """Return how long to keep the item, in seconds, or None for no limit."""
         owner = Owner.parse(item.owner)
         if owner is None:
-            return None  # somebody else's: another system may share the engine
+            return None  # not a daemon's: another system may use the engine as well
         state = self._state_of(owner)
         if state is OwnerState.GONE:
             return GONE_SECONDS
