--- a/cranberrywick/decisions/fleet.py
+++ b/cranberrywick/decisions/fleet.py
@@ -1,21 +1,21 @@
-"""What this daemon knows of each endpoint, and which of them are open.
+"""The state of each endpoint as this daemon has it, and which endpoints are open.
 
 Load pattern: load reports arrive a second or two late, and in that time a daemon
 sends dozens of requests.
 
-Without it: everything goes to the endpoint that was idle two seconds ago, then all
-of it to the next (herding); and slots that a report still shows as free are taken
-twice.
+What goes wrong if reports are used as they are: all requests go to the endpoint that
+was idle two seconds ago, then all of them to the next (herding), and slots that a
+report still shows as free are used twice.
 
-How: a daemon knows exactly what it has sent and what came back, so its own
-outstanding work counts at once. A report adds only what others have there: its
-figures less what this daemon had there at the moment the report describes. A
-report older than `REPORT_VALID_SECONDS` says nothing.
+How: a daemon has an exact record of what it has sent and what has ended, so its own
+outstanding work counts at once. A report only adds the work of other daemons: its
+figures minus what this daemon had at the endpoint at the time of the report. A report
+older than `REPORT_VALID_SECONDS` is not used.
 
-Grounds: reports come each second with about a second's lag, so three lost ones in
-a row are borne. Work is held here rather than at the engine until an endpoint is
-about to be free, since what is sent can no longer be reordered; the pipeline bound
-of 30 ms covers the way there and back several times over.
+Figures: reports arrive each second with about a second's lag, so three can be lost in
+a row. Work is queued here rather than at the engine until an endpoint is almost free,
+since requests can't be reordered once they are sent. The limit of 30 ms of prefill
+ahead is several times the round trip, so that the engine does not become idle.
 """
 
 from collections import deque
@@ -33,16 +33,24 @@
 
 __all__ = ["EndpointState", "Fleet", "Outstanding"]
 
+# Age up to which a load report is used, in seconds.
 REPORT_VALID_SECONDS = 5.0
-# An endpoint with less prefill than this ahead takes the next request.
+# Prefill time ahead of a new request below which an endpoint is open, in seconds.
 PIPELINE_SECONDS = 0.03
-# Requests come and go in seconds; which part is ours changes over minutes.
-OWN_SHARE_RATE = 0.1
-LEAST_OWN_SHARE = 0.001
+# Weight of a new sample in the moving average of the own share. Single requests come
+# and go within seconds, while the share changes over minutes.
+OWN_SHARE_WEIGHT = 0.1
+# Lower bound on a sample of the own share.
+MIN_OWN_SHARE = 0.001
 
 
 class Outstanding(NamedTuple):
-    """One request that this daemon has at an endpoint."""
+    """One request that this daemon has at an endpoint.
+
+    ``prefill_seconds`` is the estimated time of its prefill, ``cached_tokens`` the part
+    of its prompt expected in the prefix cache, and ``cache_tokens`` the cache memory
+    that it is counted for.
+    """
 
     work: Work
     sent_at: float
@@ -51,8 +59,8 @@
     cache_tokens: int
 
 
-class _OwnMoment(NamedTuple):
-    """What this daemon had at the endpoint from ``time`` on."""
+class _WorkSample(NamedTuple):
+    """The work at an endpoint from ``time`` on, which is in monotonic seconds."""
 
     time: float
     requests: int
@@ -61,11 +69,12 @@
 
 
 class EndpointState:
-    """One endpoint: what it reports, and what this daemon has there."""
+    """One endpoint: its newest load report and this daemon's own work there."""
 
     def __init__(self, endpoint: Endpoint):
         self.endpoint = endpoint
-        # Unknown until the first report, so only what a cold endpoint bears.
+        # Until the first report the phase is unknown, so the load is limited to that
+        # of a cold endpoint.
         self.phase = EndpointPhase.COLD
         self.listed = True
         self.share: Share | None = None
@@ -76,12 +85,12 @@
         self._leaving_incarnation: int | None = None
         self._cold_seen_at = float("-inf")
         self._load: EndpointLoad | None = None
-        # Parts of other engines' gangs, by work.
+        # Cache tokens held here for parts of joint prompts of other engines, by work.
         self.held_by_work: dict[str, int] = {}
         self._own_cache_tokens = 0
         self._own_prefill_tokens = 0
         self._own_prefill_seconds = 0.0
-        self._moments: deque[_OwnMoment] = deque()
+        self._own_work_history: deque[_WorkSample] = deque()
 
     @property
     def endpoint_id(self) -> str:
@@ -89,26 +98,27 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether any source has said that this incarnation goes away."""
+        """Whether any source has reported that this incarnation is leaving."""
         return self._leaving_incarnation is not None
 
     def serves(self, model: str, adapter: str | None, service: str | None) -> bool:
-        """Whether the service, or the model with the adapter, is there."""
+        """Return whether the endpoint has the service, or the model and adapter."""
         if service is not None:
             return self.endpoint.service == service
         return model in self.models and (adapter is None or adapter in self.models)
 
     @property
     def models(self) -> tuple[str, ...]:
-        """Models and adapters loaded, by report or else by configuration."""
+        """The models and adapters loaded, by report or else by configuration."""
         if self._load is not None and self._load.models:
             return self._load.models
         return self.endpoint.models
 
     def report(self, load: EndpointLoad) -> bool:
-        """Take a report and return whether the endpoint has started anew.
+        """Apply a load report and return whether the endpoint has restarted.
 
-        Late ones and those of an earlier incarnation are dropped.
+        A report that is older than the last one, or of an earlier incarnation, is
+        ignored.
         """
         if load.incarnation < self._incarnation:
             return False
@@ -126,24 +136,27 @@
         return is_new
 
     def mark_leaving(self) -> None:
-        """The first word that it leaves wins, until a new incarnation."""
+        """Mark the endpoint as leaving until a report of a new incarnation arrives."""
         self._leaving_incarnation = self._incarnation
 
     def mark_cold(self, now: float) -> None:
-        """It refused as cold: reports from before that moment are out of date."""
+        """Mark the endpoint as cold, since it refused a request for that reason.
+
+        The phase in later reports is ignored if they date from before ``now``.
+        """
         self._cold_seen_at = now
         self.phase = EndpointPhase.COLD
 
     def hold(self, work_id: str, tokens: int, now: float) -> None:
-        """Count memory that a part of a gang's prompt takes here."""
+        """Count the cache memory that a part of a joint prompt uses here, in tokens."""
         self.held_by_work[work_id] = tokens
         self._own_cache_tokens += tokens
-        self._note_moment(now)
+        self._record_own_work(now)
 
     def release(self, work_id: str, now: float) -> None:
-        """Give back what `hold` counted."""
+        """Stop counting the memory that `hold` counted for this work."""
         self._own_cache_tokens -= self.held_by_work.pop(work_id, 0)
-        self._note_moment(now)
+        self._record_own_work(now)
 
     def sent(
         self,
@@ -153,7 +166,12 @@
         now: float,
         cache_tokens: int | None = None,
     ) -> None:
-        """Count a request that is sent now; it takes ``cache_tokens`` here."""
+        """Record a request that is sent now.
+
+        ``prefill_seconds`` is the estimated time of its prefill, and ``cached`` the
+        number of its prompt tokens expected in the prefix cache. ``cache_tokens`` is
+        the cache memory to count; None stands for the prompt and the longest output.
+        """
         if cache_tokens is None:
             cache_tokens = work.prompt_tokens + work.max_output_tokens
         outstanding = Outstanding(work, now, prefill_seconds, cached, cache_tokens)
@@ -162,10 +180,13 @@
         self._own_cache_tokens += outstanding.cache_tokens
         self._own_prefill_tokens += work.prompt_tokens
         self._own_prefill_seconds += prefill_seconds
-        self._note_moment(now)
+        self._record_own_work(now)
 
     def first_token(self, work_id: str, now: float) -> Outstanding | None:
-        """The prefill of a request is over."""
+        """Record the end of a request's prefill and return the request.
+
+        The result is None if its prefill was not under way.
+        """
         outstanding = self.prefilling_by_work.pop(work_id, None)
         if outstanding is None:
             return None
@@ -173,79 +194,87 @@
         self._own_prefill_seconds -= outstanding.prefill_seconds
         if not self.prefilling_by_work:
             self._own_prefill_seconds = 0.0
-        self._note_moment(now)
+        self._record_own_work(now)
         return outstanding
 
     def ended(self, work_id: str, now: float) -> Outstanding | None:
-        """A request is over, in whatever way."""
+        """Record the end of a request, however it ended, and return the request.
+
+        The result is None if it was not outstanding.
+        """
         self.first_token(work_id, now)
         outstanding = self.outstanding_by_work.pop(work_id, None)
         if outstanding is not None:
             self._own_cache_tokens -= outstanding.cache_tokens
-            self._note_moment(now)
+            self._record_own_work(now)
         return outstanding
 
-    def _note_moment(self, now: float) -> None:
-        moment = _OwnMoment(
+    def _record_own_work(self, now: float) -> None:
+        sample = _WorkSample(
             now,
             len(self.outstanding_by_work),
             self._own_prefill_tokens,
             self._own_cache_tokens,
         )
-        self._moments.append(moment)
-        while len(self._moments) > 1 and (
-            self._moments[1].time < now - REPORT_VALID_SECONDS
+        self._own_work_history.append(sample)
+        while len(self._own_work_history) > 1 and (
+            self._own_work_history[1].time < now - REPORT_VALID_SECONDS
         ):
-            self._moments.popleft()
+            self._own_work_history.popleft()
 
-    def _others(self, now: float) -> _OwnMoment:
-        """Return what other daemons have there, by the last report."""
+    def _work_of_others(self, now: float) -> _WorkSample:
+        """Return the work of other daemons there, by the last report."""
         load = self._load
         if load is None or now - load.reported_at > REPORT_VALID_SECONDS:
-            return _OwnMoment(now, 0, 0, 0)
-        own = _OwnMoment(load.reported_at, 0, 0, 0)
-        for moment in self._moments:
-            if moment.time > load.reported_at:
+            return _WorkSample(now, 0, 0, 0)
+        own = _WorkSample(load.reported_at, 0, 0, 0)
+        for sample in self._own_work_history:
+            if sample.time > load.reported_at:
                 break
-            own = moment
-        return _OwnMoment(
+            own = sample
+        return _WorkSample(
             load.reported_at,
             max(0, load.running + load.waiting - own.requests),
             max(0, load.prefill_tokens_waiting - own.prefill_tokens),
             max(0, load.cache_tokens_used - own.cache_tokens),
         )
 
-    def others_requests(self, now: float) -> int:
-        """Return how many requests of other daemons are there, by the last report."""
-        return self._others(now).requests
+    def requests_of_others(self, now: float) -> int:
+        """Return the number of other daemons' requests there, by the last report."""
+        return self._work_of_others(now).requests
 
     def backlog_seconds(self, now: float) -> float:
-        """Return the prefill time that stands before a new request.
+        """Return the prefill time ahead of a new request, in seconds.
 
-        What a report showed of others has been worked off since: else a summary
-        that took a tenth of a second would close the endpoint until the next report.
+        The time since the last report is deducted from the other daemons' prefill in
+        it, as work done since then. Otherwise a summary whose prefill takes a tenth of
+        a second would close the endpoint until the next report.
         """
-        others = self._others(now)
+        others = self._work_of_others(now)
         rate = self.endpoint.prefill_tokens_per_second
         left = others.prefill_tokens / rate - (now - others.time)
         return self._own_prefill_seconds + max(0.0, left)
 
     def cache_tokens_free(self, now: float) -> int:
-        """Return the cache memory that no request has claimed."""
-        others = self._others(now).cache_tokens
+        """Return the cache memory that no request uses, in tokens.
+
+        Requests of other daemons count by the last report.
+        """
+        others = self._work_of_others(now).cache_tokens
         return self.endpoint.cache_tokens - self._own_cache_tokens - others
 
     def slots_free(self, now: float, shared: bool) -> int:
         """Return how many more requests this daemon may send there.
 
-        ``shared`` says that shares are in force: then a cold endpoint without a
-        valid share gets nothing. A warm one whose share has lapsed keeps its size,
-        so that an outage of the grants neither stops nor frees it.
+        ``shared`` is true if shares are in force; a cold endpoint without a valid
+        share then gets no requests. At a warm endpoint an expired share still limits
+        the requests to its slots, so that an outage of the grants neither stops the
+        work there nor removes the limit.
         """
         if not self.listed or self.is_leaving:
             return 0
         own = len(self.outstanding_by_work)
-        others = self._others(now).requests
+        others = self._work_of_others(now).requests
         cold = self.phase is EndpointPhase.COLD
         most = self.endpoint.cold_slots if cold else self.endpoint.slots
         free = most - own - others
@@ -258,7 +287,7 @@
         return free
 
     def is_open(self, now: float, shared: bool) -> bool:
-        """Whether the next request may go there now."""
+        """Return whether the next request may be sent there now."""
         if self.slots_free(now, shared) <= 0:
             return False
         if self.endpoint.kind is EndpointKind.SERVICE:
@@ -277,25 +306,29 @@
 
     @property
     def own_share(self) -> float:
-        """The part of the fleet's requests that are this daemon's, on average.
+        """The average share of the fleet's requests that are this daemon's.
 
-        What a daemon sees of arrivals and of drained work is this part of what
-        the fleet sees. Without it each of nine daemons would size the part for
-        short prompts for a ninth of them.
+        A daemon observes only this share of the fleet's arrivals and completed work.
+        Without the correction, each of nine daemons would size the pool for short
+        prompts for only a ninth of them.
         """
         return self._own_share
 
     def update_own_share(self, now: float) -> None:
-        """Look at the fleet again; call about once a second."""
+        """Update `own_share` from the present requests; call about once a second."""
         states = self.states_by_id.values()
         own = sum(len(state.outstanding_by_work) for state in states)
-        others = sum(state.others_requests(now) for state in states)
+        others = sum(state.requests_of_others(now) for state in states)
         if own + others:
-            seen = max(LEAST_OWN_SHARE, own / (own + others))
-            self._own_share += OWN_SHARE_RATE * (seen - self._own_share)
+            sample = max(MIN_OWN_SHARE, own / (own + others))
+            self._own_share += OWN_SHARE_WEIGHT * (sample - self._own_share)
 
     def set_endpoints(self, endpoints_by_id: Mapping[str, Endpoint]) -> None:
-        """Replace the known endpoints; those with work of ours stay, unlisted."""
+        """Replace the endpoints.
+
+        An endpoint that is no longer listed is kept, marked as such, while this daemon
+        has work there.
+        """
         for endpoint_id, endpoint in endpoints_by_id.items():
             state = self.states_by_id.get(endpoint_id)
             if state is None:
@@ -312,15 +345,15 @@
                 del self.states_by_id[endpoint_id]
 
     def set_shares(self, shares_by_endpoint: Mapping[str, Share]) -> None:
-        """Replace the shares; from now on they bound what is sent."""
+        """Replace the shares, by endpoint; from now on they limit what is sent."""
         self.shared = True
         for endpoint_id, state in self.states_by_id.items():
             state.share = shares_by_endpoint.get(endpoint_id)
 
     def is_out(self, state: EndpointState) -> bool:
-        """Whether operators have taken the endpoint's failure domain out."""
+        """Return whether operators have taken the endpoint's failure domain out."""
         return state.endpoint.failure_domain in self.domains_out
 
     def is_open(self, state: EndpointState, now: float) -> bool:
-        """Whether new work may go to the endpoint now."""
+        """Return whether new work may be sent to the endpoint now."""
         return not self.is_out(state) and state.is_open(now, self.shared)
