--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is taken to be alive, decided without a network or a clock."""
+"""Failure detection, without a network or a clock."""
 
 import random
 
@@ -41,29 +41,29 @@
     return actions
 
 
-def test_a_member_that_answers_stays():
+def test_a_member_that_answers_stays_alive():
     members = membership("a", "b")
     run(members, 1, 60, answer=lambda probe: True)
     assert {status_of(members, id) for id in "ab"} == {Status.ALIVE}
 
 
-def test_a_silent_member_is_asked_through_others_then_suspected_then_dead():
-    """A daemon is killed; others stop sending callers to it a few seconds later.
+def test_a_silent_member_is_probed_through_relays_then_suspect_then_dead():
+    """A daemon is killed; a few seconds later the others give its address no more.
 
-    Its probe is not answered, nor are those that two others were asked to make. It
-    is suspected for three seconds, in which nothing refutes it, and then dead.
+    It answers neither the direct probe nor those through two relays. It is suspect for
+    three seconds, does not refute, and is then declared dead.
     """
     members = membership("a", "b", "c")
     actions = run(members, 1, 4, answer=lambda probe: probe.daemon_id != "a")
-    through = [a for a in actions if isinstance(a, ProbeThrough)]
-    assert {action.relay for action in through} == {"b", "c"}
+    relayed = [a for a in actions if isinstance(a, ProbeThrough)]
+    assert {action.relay for action in relayed} == {"b", "c"}
     assert status_of(members, "a") is Status.SUSPECT
     run(members, 4, 10, answer=lambda probe: probe.daemon_id != "a")
     assert status_of(members, "a") is Status.DEAD
     assert status_of(members, "b") is Status.ALIVE
 
 
-def test_a_suspect_that_refutes_stays():
+def test_a_suspect_that_refutes_stays_alive():
     members = membership("a", "b")
     run(members, 1, 4, answer=lambda probe: probe.daemon_id == "b")
     assert status_of(members, "a") is Status.SUSPECT
@@ -78,11 +78,11 @@
     assert members.myself == member("me", revision=1)
 
 
-def test_a_process_that_stood_still_does_not_hold_the_others_for_dead():
-    """A daemon is stopped for a minute while probes of it are under way.
+def test_a_suspended_process_does_not_suspect_the_others():
+    """A daemon is suspended for a minute while its probes are unanswered.
 
-    When it goes on, every answer is long overdue. The others were not silent; it
-    did not listen. None of them is suspected for that.
+    When it resumes, all answers are overdue, although the others were not silent. It
+    must not suspect any of them for that.
     """
     members = membership("a", "b", "c")
     members.next_probe(1.0)
@@ -93,11 +93,11 @@
     assert status_of(members, "b") is Status.SUSPECT
 
 
-def test_anothers_word_of_death_is_only_a_suspicion_here():
-    """A partition heals, and one side hears that the other held it for dead.
+def test_an_update_that_a_member_is_dead_only_makes_it_suspect():
+    """A partition heals, and one side receives updates that its members are dead.
 
-    Believed at once, that would take out members that answer. They are asked
-    instead, and refute.
+    Applied at once, these would remove members that are alive. The members become
+    suspect instead and are probed, so that they can refute.
     """
     members = membership("a", "b")
     assert members.apply_update(member("a", status=Status.DEAD), 1.0)
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    "late",
+    "outdated",
     [
         member("a", incarnation=4, revision=9),
         member("a", incarnation=4, status=Status.DEAD),
@@ -118,15 +118,15 @@
         member("a", incarnation=5, revision=1, status=Status.LEAVING),
     ],
 )
-def test_late_news_changes_nothing(late):
+def test_an_outdated_update_changes_nothing(outdated):
     members = membership()
     newest = member("a", incarnation=5, revision=2, status=Status.LEAVING)
     members.apply_update(newest, 0.0)
-    assert not members.apply_update(late, 1.0)
+    assert not members.apply_update(outdated, 1.0)
     assert members.members_by_id["a"] == newest
 
 
-def test_a_new_run_overrides_the_death_of_an_earlier_one():
+def test_a_restarted_member_is_alive_again():
     members = membership("a")
     run(members, 1, 10)
     assert status_of(members, "a") is Status.DEAD
@@ -134,24 +134,24 @@
     assert status_of(members, "a") is Status.ALIVE
 
 
-def test_a_leaving_member_that_dies_is_found_dead():
+def test_a_leaving_member_that_dies_is_declared_dead():
     members = membership("a", "b")
     members.apply_update(member("a", revision=1, status=Status.LEAVING), 0.0)
     run(members, 1, 12, answer=lambda probe: probe.daemon_id == "b")
     assert status_of(members, "a") is Status.DEAD
 
 
-def test_the_dead_are_forgotten_in_the_end():
+def test_the_record_of_a_dead_member_is_evicted():
     members = membership("a", "b")
     run(members, 1, 620, answer=lambda probe: probe.daemon_id == "b")
     assert "a" not in members.members_by_id
 
 
-def test_a_clock_set_back_before_a_restart_is_made_up_for():
+def test_a_restart_with_a_lower_incarnation_rises_above_the_previous_one():
     """A VM's clock is set back, and its daemon restarts with a lower incarnation.
 
-    Peers take what it says for late news of the earlier run. Told what they
-    remember, it goes above.
+    Peers ignore its updates as outdated. When it receives the incarnation that they
+    have, it continues with a higher one.
     """
     members = membership("a")
     members.raise_incarnation(7)
@@ -159,7 +159,10 @@
 
 
 def exchange(memberships, now, lost):
-    """One second in which every daemon pings one other, with loss."""
+    """Simulate one second in which every daemon pings one other.
+
+    ``lost`` says whether a message from a sender to a receiver is lost.
+    """
     for membership in memberships.values():
         for relayed in membership.tick(now):
             if not lost(membership.myself.daemon_id, relayed.daemon_id):
@@ -175,13 +178,13 @@
         membership.answered(probe.round, probe.daemon_id)
 
 
-def test_news_reaches_sixty_daemons_with_a_tenth_of_messages_lost():
+def test_an_update_reaches_sixty_daemons_with_a_tenth_of_messages_lost():
     ids = [f"e{i}" for i in range(60)]
-    everyone = [member(id) for id in ids]
+    all_members = [member(id) for id in ids]
     memberships = {}
     for id in ids:
         memberships[id] = Membership(member(id), random.Random(id), 0.0)
-        memberships[id].merge_members(everyone, 0.0)
+        memberships[id].merge_members(all_members, 0.0)
     memberships["e0"].leave()
     rng = random.Random(3)
 
