--- a/tests/test_grants_machine.py
+++ b/tests/test_grants_machine.py
@@ -1,7 +1,7 @@
-"""Leases under lost, late and repeated messages, and stewards that change.
+"""Leases under lost, late and repeated messages and changes of steward.
 
-A steward's ledger and nine holders exchange the messages that daemons exchange, over
-a network that loses, delays, repeats and reorders them as hypothesis likes.
+The ledgers of stewards and nine holders exchange the messages that daemons exchange.
+Hypothesis chooses which of them are lost, delayed, repeated and reordered.
 """
 
 from enum import Enum
@@ -23,16 +23,17 @@
 DAEMONS = 9
 AUTHORITY_SECONDS = 15.0
 
-# Mostly the same few, or no two rules would ever meet.
+# Weighted towards a few daemons, so that successive rules often concern the same one.
 daemon_numbers = st.sampled_from([0, 0, 0, 0, 1, 1, 1, 1, 2, 2, 3, 4, 5, 6, 7, 8])
-# Counted from the newest; the oldest under way are mostly of no use to anyone.
-places = st.sampled_from([0, 0, 1, 2, 5])
+# Position of a message, counted from the newest. The oldest ones in transit are mostly
+# outdated and would be ignored.
+positions = st.sampled_from([0, 0, 1, 2, 5])
 amounts = st.sampled_from([0, 0, 1, 4, 9, 9])
 steps = st.sampled_from([0.02, 0.3, 0.3, 1.0, 1.0, 3.0, 3.0, 9.0])
 
 
 class Fate(Enum):
-    """What becomes of a demand; what is late may be lost, too."""
+    """What happens to a demand and its answer; a late message may also be lost."""
 
     ANSWERED = 0
     ANSWER_IS_LATE = 1
@@ -43,7 +44,7 @@
 
 
 class Daemon:
-    """One daemon: the holder's side, and the steward's while it is one."""
+    """One daemon: its leases, and its ledger while it acts as steward."""
 
     def __init__(self, name, endpoint):
         self.name = name
@@ -55,7 +56,7 @@
         self.round = 0
         self.running = 0
         self.completed = 0
-        self.has_heard = False
+        self.has_report = False
 
     @property
     def holder(self):
@@ -63,7 +64,11 @@
 
 
 class GrantsMachine(RuleBasedStateMachine):
-    """What the two machines below share."""
+    """The state, rules and messages that both machines below use.
+
+    ``running`` counts all requests at the endpoint, and ``orphaned_running`` those of
+    them that were sent before their daemon restarted.
+    """
 
     def __init__(self):
         super().__init__()
@@ -76,11 +81,11 @@
         self.demands = []
         self.grants = []
         self.reports = []
-        self.lingering = 0
+        self.orphaned_running = 0
 
     @property
     def running(self):
-        return self.lingering + sum(daemon.running for daemon in self.daemons)
+        return self.orphaned_running + sum(daemon.running for daemon in self.daemons)
 
     def make_steward(self, number):
         if self.daemons[number].ledger is None:
@@ -119,7 +124,7 @@
         self.demands.append((steward, number, daemon.holder, daemon.round, entry))
 
     @precondition(lambda self: self.demands)
-    @rule(index=places, is_repeated=st.booleans())
+    @rule(index=positions, is_repeated=st.booleans())
     def demand_arrives(self, index, is_repeated):
         demand = self.demands[-1 - index % len(self.demands)]
         if not is_repeated:
@@ -136,7 +141,7 @@
             self.grants.append((number, holder, steward, round, granted, load))
 
     @precondition(lambda self: self.grants)
-    @rule(index=places, is_repeated=st.booleans())
+    @rule(index=positions, is_repeated=st.booleans())
     def grant_arrives(self, index, is_repeated):
         grant = self.grants[-1 - index % len(self.grants)]
         if not is_repeated:
@@ -146,7 +151,7 @@
         if holder == daemon.holder:
             daemon.leases.take("r1", steward, round, granted.slots, granted.lifetime)
             daemon.leases.record_load(load)
-            daemon.has_heard = True
+            daemon.has_report = True
 
     @rule(number=daemon_numbers)
     def holder_sends_all_it_may(self, number):
@@ -160,32 +165,37 @@
         if daemon.running:
             daemon.running -= 1
             daemon.completed += 1
-            self.note_completed()
+            self.count_completed()
 
-    def note_completed(self):
+    def count_completed(self):
         pass
 
-    @precondition(lambda self: self.lingering)
+    @precondition(lambda self: self.orphaned_running)
     @rule()
-    def work_of_the_dead_ends(self):
-        self.lingering -= 1
+    def orphaned_request_ends(self):
+        self.orphaned_running -= 1
 
     @rule(number=daemon_numbers)
     def daemon_restarts(self, number):
         old = self.daemons[number]
-        # That a ramp is under way is lost when all that heard of it are gone.
-        if sum(daemon.has_heard for daemon in self.daemons) <= 3:
+        # If all daemons that have received a report restart, no record remains that a
+        # ramp is under way. This machine excludes that case: it keeps at least three.
+        if sum(daemon.has_report for daemon in self.daemons) <= 3:
             return
-        self.lingering += old.running
+        self.orphaned_running += old.running
         new = Daemon(old.name, self.endpoint)
         new.incarnation = old.incarnation + 1
         self.daemons[number] = new
         if self.steward_seen_by[number] == number:
             self.make_steward(number)
-            self.all_tell_the_new_steward(number)
+            self.all_send_a_demand(number)
+
+    def all_send_a_demand(self, number):
+        """Deliver one demand of each holder that sees this steward.
 
-    def all_tell_the_new_steward(self, number):
-        """In its first ten seconds a steward is asked by all three times."""
+        In its first ten seconds, in which a steward only renews leases, each holder
+        sends it three demands. At least one of them is assumed to arrive.
+        """
         for each in range(DAEMONS):
             if self.steward_seen_by[each] == number:
                 self.ask(each, 0)
@@ -196,14 +206,14 @@
         self.reports.append((number, load))
 
     @precondition(lambda self: self.reports)
-    @rule(index=places)
+    @rule(index=positions)
     def report_arrives(self, index):
         number, load = self.reports.pop(-1 - index % len(self.reports))
         if self.daemons[number].ledger is not None:
             self.daemons[number].ledger.report(load, self.now)
 
     @rule(number=daemon_numbers)
-    def steward_hears_a_report(self, number):
+    def steward_receives_a_report(self, number):
         self.report(number, self.phase)
         self.report_arrives(0)
 
@@ -213,13 +223,13 @@
 
 
 class WarmMachine(GrantsMachine):
-    """Leases of a warm endpoint: one view of who is steward, which changes."""
+    """Leases of a warm endpoint: all daemons agree on the steward, which changes."""
 
     @initialize()
     def first_steward(self):
         self.make_steward(0)
         self.now += 11.0
-        self.steward_hears_a_report(0)
+        self.steward_receives_a_report(0)
 
     @rule(number=daemon_numbers)
     def steward_changes(self, number):
@@ -229,7 +239,7 @@
             daemon.ledger = None
         self.steward_seen_by = [number] * DAEMONS
         self.make_steward(number)
-        self.steward_hears_a_report(number)
+        self.steward_receives_a_report(number)
 
     @invariant()
     def leases_fit_the_endpoint(self):
@@ -238,18 +248,18 @@
 
 
 class ColdMachine(GrantsMachine):
-    """Work on an endpoint in cold start: every daemon has a view of its own.
+    """Work at an endpoint in cold start: daemons may see different stewards.
 
-    Only one daemon at a time holds the platform's lease. The endpoint bears one
-    request until it is warm, and then twice as many each time it has completed as
-    many as it bears.
+    Only one daemon at a time holds the platform's lease. The endpoint can run one
+    request until it is warm. After that, the number doubles each time it has completed
+    as many requests as it can run.
     """
 
     def __init__(self):
         super().__init__()
         self.owner = None
         self.owned_until = 0.0
-        self.bearable = 1
+        self.capacity = 1
         self.completed = 0
         self.is_warm = False
 
@@ -258,13 +268,13 @@
         return EndpointPhase.WARM if self.is_warm else EndpointPhase.COLD
 
     @initialize()
-    def everyone_heard_it_is_cold(self):
+    def all_have_a_cold_report(self):
         load = EndpointLoad("r1", 1, EndpointPhase.COLD, self.now)
         for daemon in self.daemons:
             daemon.leases.record_load(load)
-            daemon.has_heard = True
+            daemon.has_report = True
         self.make_steward(0)
-        self.a_whole_turn_of_the_steward(0)
+        self.steward_becomes_able_to_grant(0)
 
     @precondition(lambda self: not self.is_warm)
     @rule(number=daemon_numbers, seeing=st.sets(st.integers(0, DAEMONS - 1)))
@@ -277,17 +287,17 @@
 
     @precondition(lambda self: not self.is_warm)
     @rule(number=daemon_numbers, seeing=st.sets(st.integers(1, DAEMONS - 1)))
-    def some_see_another_steward_for_long(self, number, seeing):
+    def some_see_another_steward_that_can_grant(self, number, seeing):
         self.some_see_another_steward(number, seeing)
-        self.a_whole_turn_of_the_steward(number)
+        self.steward_becomes_able_to_grant(number)
 
     @rule(number=daemon_numbers)
     def all_see_one_steward(self, number):
         self.some_see_another_steward(number, set(range(DAEMONS)))
-        self.all_tell_the_new_steward(number)
+        self.all_send_a_demand(number)
 
     @rule(number=daemon_numbers)
-    def daemon_takes_the_platforms_lease(self, number):
+    def daemon_acquires_the_platforms_lease(self, number):
         daemon = self.daemons[number]
         is_free = self.now >= self.owned_until
         if daemon.ledger is None or not (is_free or self.owner == daemon.holder):
@@ -299,29 +309,36 @@
 
     @rule(number=daemon_numbers)
     def endpoint_turns_warm(self, number):
-        """From here on the views agree: a warm report can't be told from a ramp."""
+        """Let the endpoint turn warm, with one steward that all daemons see.
+
+        From here on the views agree. A warm report looks the same during the ramp and
+        after it, so that a second steward could not distinguish the two.
+        """
         self.all_see_one_steward(number)
         self.is_warm = True
 
-    def note_completed(self):
+    def count_completed(self):
         self.completed += self.is_warm
-        if self.completed >= self.bearable:
+        if self.completed >= self.capacity:
             self.completed = 0
-            self.bearable = min(8, 2 * self.bearable)
+            self.capacity = min(8, 2 * self.capacity)
 
     @rule(number=daemon_numbers)
-    def a_whole_turn_of_the_steward(self, number):
-        """Many rules must fall into one order before a first lease; help luck."""
+    def steward_becomes_able_to_grant(self, number):
+        """Bring a steward to the point where it may grant a first lease.
+
+        Chance alone rarely selects the necessary rules in the right order.
+        """
         if self.daemons[number].ledger is None:
             return
-        self.daemon_takes_the_platforms_lease(number)
+        self.daemon_acquires_the_platforms_lease(number)
         self.time_passes(10.5)
-        self.daemon_takes_the_platforms_lease(number)
-        self.steward_hears_a_report(number)
+        self.daemon_acquires_the_platforms_lease(number)
+        self.steward_receives_a_report(number)
 
     @invariant()
-    def no_more_runs_than_the_endpoint_bears(self):
-        assert self.running <= self.bearable
+    def running_work_stays_within_the_capacity(self):
+        assert self.running <= self.capacity
 
 
 TestWarm = WarmMachine.TestCase
@@ -330,34 +347,35 @@
 TestCold.settings = settings(max_examples=400, stateful_step_count=60)
 
 
-def test_two_stewards_in_a_split_view_do_not_add_up():
-    """Each of two daemons holds itself for steward of a cold endpoint.
+def test_two_stewards_in_a_split_view_share_one_limit():
+    """Two daemons act as steward of a cold endpoint at the same time.
 
-    Both have waited, and both have a report that nothing runs. Each is asked by a
-    holder that sees it as steward; only the one with the platform's lease grants.
+    Both have waited for a lease lifetime, and both have a report that nothing runs.
+    Each receives demands of holders that see it as steward. Only the one with the
+    platform's lease grants.
     """
     machine = ColdMachine()
-    machine.everyone_heard_it_is_cold()
-    machine.some_see_another_steward_for_long(1, {2, 3})
+    machine.all_have_a_cold_report()
+    machine.some_see_another_steward_that_can_grant(1, {2, 3})
     for holder in (0, 2, 3, 4):
         machine.demand(holder, 9, Fate.ANSWERED, True)
-    assert machine.running == machine.bearable == 1
+    assert machine.running == machine.capacity == 1
 
 
-def test_a_report_from_before_the_platforms_lease_hides_no_work():
-    """An endpoint in cold start that bears one request gets two and falls over.
+def test_a_report_from_before_the_platforms_lease_is_not_relied_on():
+    """An endpoint in cold start that can run one request gets two and fails.
 
-    A daemon that sees itself as steward hears a report that nothing runs, while the
-    steward before it still holds the platform's lease and then grants. The lease
-    passes on; what runs under the old grant must count against the new one's.
+    A daemon that sees itself as steward receives a report that nothing runs, while the
+    previous steward still holds the platform's lease and then grants. When the lease
+    passes on, the work under the old grant must count against the new steward's limit.
     """
     machine = ColdMachine()
-    machine.everyone_heard_it_is_cold()
+    machine.all_have_a_cold_report()
     machine.some_see_another_steward(1, set())
-    machine.a_whole_turn_of_the_steward(0)
-    machine.a_whole_turn_of_the_steward(0)
-    machine.a_whole_turn_of_the_steward(1)
+    machine.steward_becomes_able_to_grant(0)
+    machine.steward_becomes_able_to_grant(0)
+    machine.steward_becomes_able_to_grant(1)
     machine.demand(0, 1, Fate.ANSWERED, True)
-    machine.a_whole_turn_of_the_steward(1)
+    machine.steward_becomes_able_to_grant(1)
     machine.demand(1, 1, Fate.ANSWERED, True)
-    assert machine.running <= machine.bearable
+    assert machine.running <= machine.capacity
