--- a/tests/test_orders_decisions.py
+++ b/tests/test_orders_decisions.py
@@ -1,4 +1,4 @@
-"""Which orders are planned: few at once, no last engine taken, no swinging."""
+"""Planning of orders: few at once, no last engine, no moves by a short imbalance."""
 
 from collections import Counter
 
@@ -37,11 +37,11 @@
     return ModelDemand(name, version, adapters, utilisation)
 
 
-def test_a_new_version_is_rolled_out_without_chilling_the_fleet():
+def test_a_new_version_is_loaded_by_one_engine_at_a_time():
     """Operators put version 2 first while sixteen engines serve version 1.
 
-    Ordered everywhere at once, the fleet would be cold together. One engine loads
-    at a time; the next is ordered when it has become warm.
+    If all were ordered at once, the whole fleet would be cold at the same time. One
+    engine loads at a time, and the next gets its order when that one is warm.
     """
     planner = OrderPlanner()
     engines = {view.endpoint_id: view for view in map(engine, range(16))}
@@ -60,43 +60,47 @@
     assert Counter(ordered) == dict.fromkeys(engines, 1)
 
 
-def test_demand_that_swings_moves_nothing_and_a_lasting_gap_moves_one():
+def test_only_a_lasting_imbalance_moves_an_engine():
     planner = OrderPlanner()
     engines = [engine(n) for n in range(8)] + [engine(8, "reviewer")]
-    gap = [wanted(utilisation=0.2), wanted("reviewer", utilisation=0.95)]
-    level = [wanted(utilisation=0.6), wanted("reviewer", utilisation=0.7)]
+    imbalance = [wanted(utilisation=0.2), wanted("reviewer", utilisation=0.95)]
+    balanced = [wanted(utilisation=0.6), wanted("reviewer", utilisation=0.7)]
     for now in range(0, 600, 30):
-        models = gap if now % 60 else level
+        models = imbalance if now % 60 else balanced
         assert planner.plan(engines, models, now) == []
-    assert planner.plan(engines, level, 600.0) == []
-    assert planner.plan(engines, gap, 1000.0) == []
-    orders = planner.plan(engines, gap, 1000.0 + IMBALANCE_SECONDS)
+    assert planner.plan(engines, balanced, 600.0) == []
+    assert planner.plan(engines, imbalance, 1000.0) == []
+    orders = planner.plan(engines, imbalance, 1000.0 + IMBALANCE_SECONDS)
     assert orders == [Order("engine-00", OrderKind.LOAD_MODEL, "reviewer", "1")]
 
 
-def test_a_moved_engine_stays_for_a_while():
+def test_a_moved_engine_is_not_moved_again_soon():
     planner = OrderPlanner()
     views = [engine(0), engine(1), engine(2, "reviewer"), engine(3, "reviewer")]
-    gap = [wanted(utilisation=0.2), wanted("reviewer", utilisation=0.95)]
-    back = [wanted(utilisation=0.95), wanted("reviewer", utilisation=0.2)]
-    planner.plan(views, gap, 0.0)
-    assert planner.plan(views, gap, IMBALANCE_SECONDS)[0].endpoint_id == "engine-00"
+    imbalance = [wanted(utilisation=0.2), wanted("reviewer", utilisation=0.95)]
+    reversed_imbalance = [wanted(utilisation=0.95), wanted("reviewer", utilisation=0.2)]
+    planner.plan(views, imbalance, 0.0)
+    assert (
+        planner.plan(views, imbalance, IMBALANCE_SECONDS)[0].endpoint_id == "engine-00"
+    )
     moved = [engine(0, "reviewer"), engine(1), *views[2:]]
-    planner.plan(moved, back, 100.0)
-    others = [order.endpoint_id for order in planner.plan(moved, back, 300.0)]
+    planner.plan(moved, reversed_imbalance, 100.0)
+    others = [
+        order.endpoint_id for order in planner.plan(moved, reversed_imbalance, 300.0)
+    ]
     assert others == ["engine-02"]
-    alone = [engine(0, "reviewer"), engine(1), engine(2, phase=COLD)]
-    assert planner.plan(alone, back, MIN_STAY_SECONDS) == []
+    others_cold = [engine(0, "reviewer"), engine(1), engine(2, phase=COLD)]
+    assert planner.plan(others_cold, reversed_imbalance, MIN_STAY_SECONDS) == []
 
 
-def test_a_model_that_no_engine_holds_is_loaded_where_it_is_spared_best():
+def test_a_missing_model_is_loaded_by_the_engine_best_spared():
     views = [engine(0, "reviewer"), engine(1), engine(2)]
     three = [wanted(), wanted("reviewer"), wanted("new", "7")]
     views = [view._replace(loadable=(*MODELS, "new")) for view in views]
     planner = OrderPlanner()
     assert planner.plan(views, three, 0.0) == []
     assert planner.plan(views, three, IMBALANCE_SECONDS, may_move=False) == []
-    # With one engine a model, none is taken from another.
+    # While each model has a single engine, none is moved.
     assert planner.plan(views[:2], three, IMBALANCE_SECONDS) == []
     orders = planner.plan(views, three, IMBALANCE_SECONDS)
     assert orders == [Order("engine-01", OrderKind.LOAD_MODEL, "new", "7")]
@@ -107,7 +111,7 @@
     assert orders == [Order("engine-00", OrderKind.LOAD_MODEL, "drafter", "2")]
 
 
-def test_adapters_and_roles_are_brought_about():
+def test_missing_adapters_and_roles_are_ordered():
     views = [engine(0), engine(1)]
     orders = OrderPlanner().plan(views, [wanted(adapters=("grants",))], 0.0)
     kind = OrderKind.LOAD_MODEL
@@ -131,7 +135,7 @@
 
 
 @given(views=_engines, version=st.sampled_from(["1", "2"]))
-def test_no_plan_goes_beyond_its_bounds(views, version):
+def test_every_plan_stays_within_the_limits(views, version):
     models = [wanted(name, version) for name in MODELS]
     orders = OrderPlanner().plan(views, models, 0.0)
     ordered = {order.endpoint_id for order in orders}
