--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -13,11 +13,11 @@
     return ramp
 
 
-def test_it_bears_nothing_before_it_has_reported():
+def test_the_limit_is_zero_before_the_first_report():
     assert ColdRamp(1, 8).limit == 0
 
 
-def test_it_grows_by_completed_work_only():
+def test_the_limit_grows_by_completed_work_only():
     ramp = ramping()
     for at in range(2, 1000):
         ramp.report(1, WARM, float(at))
@@ -30,25 +30,25 @@
     assert ramp.is_warm
 
 
-def test_it_does_not_grow_while_it_says_cold():
+def test_the_limit_does_not_grow_during_cold_reports():
     ramp = ColdRamp(2, 8)
     ramp.report(1, COLD, 0.0)
     ramp.complete(100)
     assert ramp.limit == 2
 
 
-def test_a_new_incarnation_cuts_at_once():
+def test_a_new_incarnation_returns_to_the_cold_slots():
     ramp = ramping()
     ramp.complete(1)
     ramp.report(2, WARM, 2.0)
     assert ramp.limit == 1
 
 
-def test_a_late_report_of_before_the_cut_changes_nothing():
-    """A warm endpoint turned cold; a warm report was still under way.
+def test_a_report_from_before_the_cut_changes_nothing():
+    """A warm endpoint has turned cold; a warm report is still in transit.
 
-    It describes a moment before the cut. Taken for news it would let the ramp
-    grow by work that the endpoint did while it was warm.
+    The report dates from before the cut. Applied, it would let the ramp grow by the
+    work that the endpoint completed while it was warm.
     """
     ramp = ColdRamp(1, 8)
     ramp.report(1, WARM, 0.0)
@@ -69,14 +69,14 @@
     assert ramp.limit == 2
 
 
-def test_a_leaving_endpoint_bears_nothing():
+def test_the_limit_of_a_leaving_endpoint_is_zero():
     ramp = ramping()
     ramp.report(1, EndpointPhase.LEAVING, 3.0)
     assert ramp.limit == 0
 
 
 class TestFirstTokenWatch:
-    """Cold seen in first-token times."""
+    """Detection of a cold endpoint from first-token times."""
 
     def watch(self):
         watch = FirstTokenWatch()
@@ -84,12 +84,12 @@
             watch.observe("r1", expected=0.4, seen=0.5)
         return watch
 
-    def test_two_jumps_running_show_it_cold(self):
+    def test_two_jumps_in_a_row_show_trouble(self):
         watch = self.watch()
         assert watch.observe("r1", 0.4, 4.0) is Trouble.NONE
         assert watch.observe("r1", 0.4, 4.0) is Trouble.SLOW_FIRST_TOKEN
 
-    def test_a_single_late_one_among_others_does_not(self):
+    def test_single_jumps_among_usual_times_show_none(self):
         watch = self.watch()
         seen = [watch.observe("r1", 0.4, s) for s in (4.0, 0.5, 4.0, 0.5, 4.0)]
         assert set(seen) == {Trouble.NONE}
--- a/tests/test_endpoint_phases.py
+++ b/tests/test_endpoint_phases.py
@@ -1,4 +1,4 @@
-"""The first word that an endpoint is leaving holds until it starts again."""
+"""An endpoint reported as leaving stays so until a new incarnation."""
 
 from cranberrywick.decisions.endpoint_phases import EndpointPhases
 from cranberrywick.model import EndpointLoad, EndpointPhase
@@ -10,22 +10,22 @@
 
 
 def test_a_late_report_does_not_reopen_a_leaving_endpoint():
-    """A caller's request is cut by an endpoint that goes away.
+    """A caller's request is cut off by an endpoint that shuts down.
 
-    The endpoint refuses as leaving, then a report that it sent earlier arrives and
-    says warm. Taking the last word would send new work to it again.
+    The endpoint refuses a request as leaving, then a report that it sent earlier
+    arrives and says warm. Applied as it is, it would send new work there again.
     """
     phases = EndpointPhases()
     phases.record_load(load(3, 10.0))
     assert phases.mark_leaving("e1", 3)
 
-    late = phases.record_load(load(3, 11.0))
+    delayed = phases.record_load(load(3, 11.0))
 
-    assert late.phase is EndpointPhase.LEAVING
+    assert delayed.phase is EndpointPhase.LEAVING
     assert not phases.mark_leaving("e1", 3)
 
 
-def test_a_new_incarnation_opens_the_endpoint_again():
+def test_a_new_incarnation_reopens_a_leaving_endpoint():
     phases = EndpointPhases()
     phases.record_load(load(3, 10.0, EndpointPhase.LEAVING))
 
@@ -44,7 +44,7 @@
     assert phases.current("e1").reported_at == 20.0
 
 
-def test_the_vm_list_closes_an_endpoint_for_as_long_as_it_says_so():
+def test_an_endpoint_is_leaving_while_the_vm_list_says_so():
     phases = EndpointPhases()
     phases.record_load(load(1, 1.0))
 
@@ -55,7 +55,7 @@
     assert phases.current("e1").phase is EndpointPhase.WARM
 
 
-def test_an_endpoint_off_the_list_is_forgotten():
+def test_an_endpoint_that_is_not_listed_is_dropped():
     phases = EndpointPhases()
     phases.record_load(load(1, 1.0))
 
@@ -64,11 +64,11 @@
     assert phases.current("e1") is None
 
 
-def test_a_notice_closes_an_endpoint_that_has_not_reported_here():
-    """A request is refused by an endpoint that a peer has said is leaving.
+def test_a_notice_marks_an_endpoint_without_reports_as_leaving():
+    """A request is refused by an endpoint that a peer has reported as leaving.
 
-    The daemon is not the endpoint's steward and has had no report of it; the
-    notice alone must close it.
+    The daemon is not the endpoint's steward and has received no report of it, so the
+    notice alone must mark it as leaving.
     """
     phases = EndpointPhases()
 
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Which entry addresses callers are given."""
+"""The choice of entry addresses for callers."""
 
 import random
 from collections import Counter
@@ -28,8 +28,8 @@
     )
 
 
-def members(*those):
-    return {each.daemon_id: each for each in those}
+def members(*listed):
+    return {each.daemon_id: each for each in listed}
 
 
 NINE = members(*(member(number) for number in range(9)))
@@ -44,21 +44,21 @@
     return {int(address.split(":")[0].rsplit(".")[-1]) % 3 for address in answer[0]}
 
 
-def test_entries_lie_in_different_failure_domains():
+def test_entries_are_in_different_failure_domains():
     for seed in range(20):
         answer = choose(NINE, organisation=f"school-{seed}", seed=seed)
         assert len(answer.addresses) == 3
         assert domains_of(answer) == {0, 1, 2}
 
 
-def test_an_organisation_stays_where_its_prefixes_are_cached():
+def test_an_organisation_keeps_the_daemons_with_its_prefixes():
     answers = [choose(NINE, seed=seed) for seed in range(50)]
     assert len({frozenset(answer.addresses) for answer in answers}) == 1
     firsts = Counter(answer.addresses[0] for answer in answers)
     assert len(firsts) == 2 and min(firsts.values()) >= 10
 
 
-def test_organisations_spread_over_the_daemons():
+def test_organisations_are_spread_over_the_daemons():
     firsts = Counter(
         choose(NINE, organisation=f"org-{i}", seed=i).addresses[0] for i in range(900)
     )
@@ -66,7 +66,7 @@
     assert max(firsts.values()) <= 200
 
 
-def test_a_member_that_goes_changes_one_address():
+def test_a_member_that_leaves_changes_at_most_one_address():
     for number in range(9):
         left = {id: m for id, m in NINE.items() if id != f"e{number}"}
         lost = set(choose(NINE).addresses) - set(choose(left).addresses)
@@ -74,18 +74,20 @@
 
 
 @pytest.mark.parametrize("status", [Status.LEAVING, Status.DEAD])
-def test_addresses_lead_away_from_those_that_go(status):
-    """A caller that asks now would keep the address of a VM past its end.
+def test_leaving_and_dead_daemons_are_omitted(status):
+    """A caller would use the address of a VM after the VM has ended.
 
-    Eight of nine daemons are leaving or dead; whichever the organisation's own
-    were, it is given the one that stays.
+    Eight of nine daemons are leaving or dead. Whichever daemons the organisation is
+    assigned otherwise, the answer contains only the one that stays.
     """
     staying = member(4)
-    going = [member(number, status) for number in range(9) if number != 4]
-    assert choose(members(staying, *going)).addresses == (staying.entry_address,)
+    leaving_or_dead = [member(number, status) for number in range(9) if number != 4]
+    assert choose(members(staying, *leaving_or_dead)).addresses == (
+        staying.entry_address,
+    )
 
 
-def test_addresses_lead_away_from_a_failure_domain_taken_out():
+def test_a_failure_domain_taken_out_is_omitted():
     for seed in range(20):
         answer = choose(NINE, f"org-{seed}", frozenset({"fd-1"}), seed)
         assert domains_of(answer) == {0, 2}
@@ -101,17 +103,17 @@
 
 
 def test_the_callers_region_comes_first():
-    far = [member(number, region="south") for number in range(9, 30)]
-    answer = choose(members(*NINE.values(), *far))
+    other_region = [member(number, region="south") for number in range(9, 30)]
+    answer = choose(members(*NINE.values(), *other_region))
     assert set(answer.addresses) <= {m.entry_address for m in NINE.values()}
 
 
-def test_when_all_are_going_callers_still_get_an_address():
+def test_callers_get_addresses_even_if_all_daemons_are_leaving():
     leaving = members(*(member(number, Status.LEAVING) for number in range(3)))
     assert len(choose(leaving).addresses) == 3
 
 
-def test_a_drain_outlasts_every_answer():
+def test_a_drain_outlasts_the_lifetime_of_every_answer():
     lifetimes = [choose(NINE, seed=seed).lifetime for seed in range(100)]
     assert max(lifetimes) <= LIFETIME_SECONDS < DRAIN_SECONDS
     assert max(lifetimes) - min(lifetimes) > 0.1 * LIFETIME_SECONDS
