--- a/tests/test_grants_machine.py
+++ b/tests/test_grants_machine.py
@@ -172,7 +172,7 @@
 
     @precondition(lambda self: self.orphaned_running)
     @rule()
-    def orphaned_request_ends(self):
+    def work_of_ended_runs_ends(self):
         self.orphaned_running -= 1
 
     @rule(number=daemon_numbers)
@@ -274,7 +274,7 @@
             daemon.leases.record_load(load)
             daemon.has_report = True
         self.make_steward(0)
-        self.steward_becomes_able_to_grant(0)
+        self.a_steward_becomes_able_to_grant(0)
 
     @precondition(lambda self: not self.is_warm)
     @rule(number=daemon_numbers, seeing=st.sets(st.integers(0, DAEMONS - 1)))
@@ -289,7 +289,7 @@
     @rule(number=daemon_numbers, seeing=st.sets(st.integers(1, DAEMONS - 1)))
     def some_see_another_steward_that_can_grant(self, number, seeing):
         self.some_see_another_steward(number, seeing)
-        self.steward_becomes_able_to_grant(number)
+        self.a_steward_becomes_able_to_grant(number)
 
     @rule(number=daemon_numbers)
     def all_see_one_steward(self, number):
@@ -297,7 +297,7 @@
         self.all_send_a_demand(number)
 
     @rule(number=daemon_numbers)
-    def daemon_acquires_the_platforms_lease(self, number):
+    def daemon_takes_the_platforms_lease(self, number):
         daemon = self.daemons[number]
         is_free = self.now >= self.owned_until
         if daemon.ledger is None or not (is_free or self.owner == daemon.holder):
@@ -324,16 +324,16 @@
             self.capacity = min(8, 2 * self.capacity)
 
     @rule(number=daemon_numbers)
-    def steward_becomes_able_to_grant(self, number):
+    def a_steward_becomes_able_to_grant(self, number):
         """Bring a steward to the point where it may grant a first lease.
 
         Chance alone rarely selects the necessary rules in the right order.
         """
         if self.daemons[number].ledger is None:
             return
-        self.daemon_acquires_the_platforms_lease(number)
+        self.daemon_takes_the_platforms_lease(number)
         self.time_passes(10.5)
-        self.daemon_acquires_the_platforms_lease(number)
+        self.daemon_takes_the_platforms_lease(number)
         self.steward_receives_a_report(number)
 
     @invariant()
@@ -372,10 +372,10 @@
     machine = ColdMachine()
     machine.all_have_a_cold_report()
     machine.some_see_another_steward(1, set())
-    machine.steward_becomes_able_to_grant(0)
-    machine.steward_becomes_able_to_grant(0)
-    machine.steward_becomes_able_to_grant(1)
+    machine.a_steward_becomes_able_to_grant(0)
+    machine.a_steward_becomes_able_to_grant(0)
+    machine.a_steward_becomes_able_to_grant(1)
     machine.demand(0, 1, Fate.ANSWERED, True)
-    machine.steward_becomes_able_to_grant(1)
+    machine.a_steward_becomes_able_to_grant(1)
     machine.demand(1, 1, Fate.ANSWERED, True)
     assert machine.running <= machine.capacity
