--- a/cranberrywick/routing/__init__.py
+++ b/cranberrywick/routing/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions of the gateway: pure modules without network, clock or log."""
+"""The gateway's routing decisions, as modules without input or output.
+
+They open no sockets, read no clock and write no log: callers pass the time as ``now``.
+"""
--- a/cranberrywick/routing/candidates.py
+++ b/cranberrywick/routing/candidates.py
@@ -1,9 +1,9 @@
-"""Which endpoints a decision looks at.
+"""Sampling of the endpoints that one placement compares.
 
-Load pattern: hundreds of requests a second before thousands of endpoints, some of them
-full, cold or failing. A request that prices all of them costs more the larger the fleet
-is, and daemons that price the same ones meet at the cheapest; each request looks at a
-few, drawn at random.
+Load pattern: hundreds of requests a second for thousands of endpoints, some of them
+full, cold or failing. If each request compared all of them, its cost would grow with
+the fleet, and daemons that compare the same endpoints would all choose the same
+cheapest one. Each request therefore compares a small random sample.
 """
 
 import random
@@ -16,23 +16,26 @@
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import Service
 
-__all__ = ["SAMPLE_SIZE", "Candidate", "Candidates", "LimitWait", "sound"]
+__all__ = ["SAMPLE_SIZE", "Candidate", "Candidates", "LimitWait", "without_cooldown"]
 
-# How many endpoints one decision looks at. A random sample costs the same however many
-# there are, and daemons that look at different ones seldom meet.
+# Number of endpoints that one placement compares. The cost of a fixed-size sample does
+# not depend on the size of the fleet, and daemons that compare different endpoints
+# seldom choose the same one.
 SAMPLE_SIZE = 24
-# For prompts of more than the usual length: they are few, and lose more where the
-# engines that read their parts are busy.
+# Sample size for prompts longer than usual. These are few, and busy helpers delay them
+# more, so a larger sample is worth its cost.
 LONG_SAMPLE_SIZE = 72
 
-# Returns how many seconds an endpoint's rate limit keeps a request that comes now.
+# Called with an endpoint's id and the current time; returns for how many seconds the
+# endpoint's rate limit delays a request that arrives now.
 LimitWait = Callable[[str, float], float]
 
 
 class Candidate(NamedTuple):
-    """An endpoint that may be used now, with what the fleet has there.
+    """An endpoint that a request may be placed on, with the fleet's jobs there.
 
-    ``limit_wait`` is how many seconds its rate limit keeps a request from it.
+    ``cooling_down`` says whether the endpoint is in the cooldown after a failure.
+    ``limit_wait`` is for how many seconds its rate limit delays a request.
     """
 
     tracked: TrackedEndpoint
@@ -46,13 +49,16 @@
         return self.tracked.endpoint_id
 
 
-def sound(candidates: Iterable[Candidate]) -> list[Candidate]:
-    """Return those that are not in the cooldown of a failure."""
+def without_cooldown(candidates: Iterable[Candidate]) -> list[Candidate]:
+    """Return the candidates that are not in the cooldown after a failure."""
     return [each for each in candidates if not each.cooling_down]
 
 
 class Candidates:
-    """Draws candidates; ``load``, ``health`` and ``limit_wait`` tell of each."""
+    """Samples endpoints and describes each by its jobs, its health and its rate limit.
+
+    ``load``, ``health`` and ``limit_wait`` are the sources of these.
+    """
 
     def __init__(
         self,
@@ -66,16 +72,16 @@
         self._rng = rng
         self._limit_wait = limit_wait
 
-    def drawn(
+    def sample(
         self, demand: Demand, usable: EndpointPool, now: float
     ) -> list[Candidate]:
-        """Return a sample of the endpoints that have not failed the request yet."""
-        return self.untried(demand, self._sample(demand, usable), now)
+        """Return a random sample of the endpoints that have not failed the request."""
+        return self.untried(demand, self._sample_endpoints(demand, usable), now)
 
     def untried(
         self, demand: Demand, tracked_endpoints: Iterable[TrackedEndpoint], now: float
     ) -> list[Candidate]:
-        """Return those of these endpoints that have not failed the request yet."""
+        """Return the given endpoints, without those that have failed the request."""
         return [
             Candidate(
                 tracked,
@@ -87,17 +93,17 @@
             if tracked.endpoint_id not in demand.tried_ids
         ]
 
-    def free(
+    def with_free_slot(
         self, service: Service, candidates: list[Candidate], now: float
     ) -> list[Candidate]:
-        """Return those that can take one more request now."""
+        """Return the candidates that can accept one more request now."""
         return [
             each
             for each in candidates
             if not _is_full(service, each.tracked, each.jobs, now)
         ]
 
-    def _sample(
+    def _sample_endpoints(
         self, demand: Demand, usable: EndpointPool
     ) -> Collection[TrackedEndpoint]:
         size = _sample_size(demand)
--- a/cranberrywick/routing/part_choice.py
+++ b/cranberrywick/routing/part_choice.py
@@ -1,9 +1,10 @@
-"""Which engines read a prompt in so many parts, and at what price.
+"""Choice of the engines that read a prompt in a given number of parts, and its price.
 
-Load pattern: the same as in `cranberrywick.routing.placement`, which asks this for each
-number of parts and takes the cheapest. Without one price for all, of what the prompt
-itself loses by being late and of what it makes late where it is read, either it takes
-the quickest engines and stops their answers, or it waits for ones that nobody needs.
+Load pattern: as in `cranberrywick.routing.placement`, which calls `choose` for each
+number of parts and uses the cheapest choice. The price adds up the loss when the prompt
+itself is late and the loss of the requests that it makes late on its engines. Without
+this common price a prompt either takes the quickest engines and stops the answers
+there, or waits for engines that no other request needs.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,28 +25,32 @@
     "weighted_random",
 ]
 
-# Expected within this share of its target, a first event is on time whatever comes
-# between; expected at the target, it is late as often as not.
+# A first event predicted within this share of its target is on time whatever happens
+# until then. One predicted at the target is late about half of the time, and is counted
+# as late. The estimated probability rises linearly between the two.
 SAFE_SHARE = 0.5
-# Prices in units of a short request's lateness. Each is below one, so that it only
-# decides between choices that make the same requests late. A first event earlier by
-# a whole target is worth the least; one engine more has to save more than its news
-# and its connection cost.
+# Prices in units of the loss when a short request is late. Each is below one, so that
+# it only decides between choices that make the same requests late. TIME_PRICE is for a
+# first event that is later by a whole target. ENGINE_PRICE is for each helper: its
+# updates and its connection have a cost, which the time saved must exceed.
 TIME_PRICE = 0.1
 ENGINE_PRICE = 0.02
-# What a request that is in flight, placed by another daemon and not visible here yet,
-# costs the one that meets it at an engine with one free slot, in shares of that one's
-# value. All daemons see the same engine as the best: without this they meet there, and
-# whoever finds no slot waits for an answer to end. A weighted random choice spreads
-# them, however many engines and daemons there are.
+# Price of sharing an engine that has one free slot with a request in flight, that is,
+# one which another daemon has placed and which is not known here yet. The unit is the
+# placed request's value. All daemons compute the same engine as the best; without this
+# they all place there, and a request that finds no slot waits until an answer ends. A
+# weighted random choice spreads the requests for any number of engines and daemons.
 IN_FLIGHT_PRICE = 1.0
 
 
 class Engine(NamedTuple):
-    """What a choice asks of an engine.
+    """An engine as a choice sees it.
 
-    ``answer_price`` is that of one more answer written there, ``shuffle`` is random
-    between 0 and 1. ``free_slots`` is how many more requests it can answer.
+    ``free_tokens`` is the memory that is not reserved, in tokens. ``answer_price`` is
+    the price of one more answer decoded there, ``failure_share`` how many of its last
+    attempts failed, between 0 and 1. ``may_answer`` says whether it may answer and not
+    only help. ``free_slots`` is how many more requests it can answer. ``shuffle`` is
+    random between 0 and 1 and orders engines of the same price.
     """
 
     endpoint_id: str
@@ -59,48 +64,58 @@
 
 
 class Choice(NamedTuple):
-    """The engines that read a prompt, the answering one first.
+    """The engines that read a prompt, the answering one first, and the price in all.
 
-    It is expected to be read after ``seconds``; ``reading`` is that of each part.
+    The first event is predicted after ``seconds``; ``part_seconds`` is the prefill time
+    of each part.
     """
 
     cost: float
     seconds: float
-    reading: float
+    part_seconds: float
     engines: tuple[Engine, ...]
 
 
 def _lateness(share: float) -> float:
-    """Return how likely a first event foreseen at this share of its target is late."""
+    """Return the estimated probability of a late first event, given its predicted time.
+
+    ``share`` is that time as a share of the target.
+    """
     return min(1.0, max(0.0, (share - SAFE_SHARE) / SAFE_SHARE))
 
 
 class Work(NamedTuple):
-    """A prompt in so many parts: its limits, what each is to read, what it is worth."""
+    """A prompt that is divided into parts.
+
+    ``target_seconds`` and ``gap_seconds`` are the targets for its first event and for
+    the pauses of its answer, ``part_seconds`` the prefill time of each part. ``joint``
+    says that there is more than one part, ``value`` is the loss if the answer is
+    late.
+    """
 
     target_seconds: float
     gap_seconds: float
-    reading: float
+    part_seconds: float
     joint: bool
     value: float
 
     def engine_price(self, engine: Engine, answers: bool) -> float:
-        """Return the price of a part at an engine, however long it takes."""
-        price = engine.forecast.interference(self.reading, self.joint)
+        """Return the price of a part at an engine, apart from that of its duration."""
+        price = engine.forecast.interference(self.part_seconds, self.joint)
         price += self.value * engine.failure_share
         if not answers:
             return price + ENGINE_PRICE
-        breaks = engine.forecast.breaks(self.gap_seconds, self.joint)
-        return price + engine.answer_price + self.value * breaks
+        is_too_long = engine.forecast.exceeds_gap(self.gap_seconds, self.joint)
+        return price + engine.answer_price + self.value * is_too_long
 
     def time_price(self, seconds: float) -> float:
-        """Return the price of a first event after so long."""
+        """Return the price of a first event after a number of seconds."""
         share = seconds / self.target_seconds
         return self.value * _lateness(share) + TIME_PRICE * share
 
     def first_event(self, engine: Engine) -> float:
-        """Return when an engine would have read its part."""
-        return engine.forecast.first_event(self.reading, self.joint)
+        """Return in how many seconds an engine would have read its part."""
+        return engine.forecast.first_event(self.part_seconds, self.joint)
 
     def offers(self, engines: Sequence[Engine], answers: bool) -> list["Offer"]:
         """Return the price of a part at each engine, the cheapest first."""
@@ -113,9 +128,10 @@
 
 
 class Split(NamedTuple):
-    """Into how many parts a prompt is divided.
+    """How a prompt is divided among engines.
 
-    The first ``holders`` of the engines hold ``share`` tokens each.
+    ``parts`` engines read it, and the first ``holders`` of them reserve ``share``
+    tokens of memory each.
     """
 
     parts: int
@@ -130,26 +146,29 @@
     engine: Engine
 
 
-# The order in which engines are taken, given their offers by price.
+# Reorders offers, which are passed with the cheapest first.
 Order = Callable[[Sequence[Offer]], Sequence[Offer]]
 
 
 def weighted_random(price: float) -> Order:
-    """Return an order for when requests in flight take the cheapest engines as well.
+    """Return an order that allows for requests in flight on the cheapest engines.
 
-    Together they pay ``price``. Each makes its engine dearer, the more so the fewer
-    slots are free there, until the next is as cheap. Of the engines that they fill in
-    this way each comes first in proportion to how many of them it gets.
+    ``price`` is what these requests cost altogether. Each is expected on the engine
+    that is the cheapest at the time and raises its price, the more so the fewer slots
+    are free there, until another engine is as cheap. The engines that they reach in
+    this way are shuffled: each comes first with a probability proportional to the
+    number of requests in flight expected there.
     """
 
     def order(offers: Sequence[Offer]) -> list[Offer]:
-        level = _filled_to(offers, price)
+        level = _equalised_price(offers, price)
 
         def key(offer: Offer) -> tuple[float, float]:
             if offer.price >= level:
                 return offer.price, offer.engine.shuffle
             expected = (level - offer.price) * offer.engine.free_slots
-            # Of exponential times the least belongs to each in proportion to its rate.
+            # The smallest of several exponential variables belongs to each of them with
+            # a probability proportional to its rate.
             return level, -log(1.0 - offer.engine.shuffle) / expected
 
         return sorted(offers, key=key)
@@ -157,8 +176,11 @@
     return order
 
 
-def _filled_to(offers: Sequence[Offer], price: float) -> float:
-    """Return the price of the engines that are filled for ``price`` in all."""
+def _equalised_price(offers: Sequence[Offer], price: float) -> float:
+    """Return the price at which the cheapest engines are equal.
+
+    Their prices are raised to it by ``price`` altogether, counted for each free slot.
+    """
     level = float("inf")
     paid = price
     slots = 0
@@ -174,17 +196,17 @@
 def choose(
     work: Work, engines: list[Engine], split: Split, order: Order = tuple
 ) -> Choice | None:
-    """Return the engines for a prompt in so many parts and their cost.
+    """Return the engines for a prompt and their cost, or None if they can't hold it.
 
-    They are taken by price, or in another order.
+    The engines are chosen by price, or in the order that ``order`` returns.
     """
     parts, holders, share = split
     ranked = [offer.engine for offer in order(work.offers(engines, answers=True))]
-    roomy = [engine for engine in ranked if engine.free_tokens >= share]
-    answering = next((engine for engine in roomy if engine.may_answer), None)
-    if answering is None or len(roomy) < holders:
+    large_enough = [engine for engine in ranked if engine.free_tokens >= share]
+    answering = next((engine for engine in large_enough if engine.may_answer), None)
+    if answering is None or len(large_enough) < holders:
         return None
-    others = [engine for engine in roomy if engine is not answering]
+    others = [engine for engine in large_enough if engine is not answering]
     helping = others[: holders - 1]
     if parts > holders:
         held_ids = {engine.endpoint_id for engine in (answering, *helping)}
@@ -195,4 +217,4 @@
     seconds = max(work.first_event(engine) for engine in chosen)
     cost = work.engine_price(answering, answers=True) + work.time_price(seconds)
     cost += sum(work.engine_price(engine, answers=False) for engine in helping)
-    return Choice(cost, seconds, work.reading, chosen)
+    return Choice(cost, seconds, work.part_seconds, chosen)
--- a/cranberrywick/routing/placement.py
+++ b/cranberrywick/routing/placement.py
@@ -1,14 +1,16 @@
-"""Where a request goes: which endpoint, and for long prompts which helpers.
-
-Load pattern: prompts from a thousand to several hundred thousand tokens share
-engines. A long prompt's reading, seconds on one engine, stops every answer that is
-being written there; a short prompt behind it waits as long. Sent to the engine with
-the fewest requests, one long prompt made a dozen short answers late.
-
-Two things answer it. A long prompt is read in even parts on several engines, as many
-as its target needs. And each choice is priced by what it makes late, of the request
-itself and of what is being written where it goes: long prompts go where no
-latency-sensitive stream is, short ones keep together, so that such engines are left.
+"""Placement of requests: the endpoint that answers and, for long prompts, its helpers.
+
+Load pattern: prompts of between a thousand and several hundred thousand tokens share
+engines. The prefill of a long prompt takes seconds on one engine; meanwhile it stops
+every answer that is being decoded there and delays each short prompt queued behind it.
+When requests were sent to the engine with the fewest of them, one long prompt made a
+dozen short answers late.
+
+Two measures prevent this. A long prompt is divided into equal parts that several
+engines read, as many as its target requires. And each choice is priced by the lateness
+that it causes, both of the request itself and of the answers being decoded on the
+engines: long prompts go to engines without latency-sensitive streams, and short ones
+are concentrated on few engines, so that engines without such streams remain.
 """
 
 import random
@@ -16,7 +18,12 @@
 from math import ceil
 from typing import NamedTuple
 
-from cranberrywick.routing.candidates import Candidate, Candidates, LimitWait, sound
+from cranberrywick.routing.candidates import (
+    Candidate,
+    Candidates,
+    LimitWait,
+    without_cooldown,
+)
 from cranberrywick.routing.demand import PART_CHOICES, Demand, may_answer
 from cranberrywick.routing.endpoint_index import EndpointPool
 from cranberrywick.routing.engine_model import forecast, prefill_time
@@ -42,25 +49,29 @@
     "Placer",
 ]
 
-# For the first latency-sensitive stream of an engine: else short answers spread over
-# all engines, and a long prompt stops some of them wherever it goes.
-FRESH_ENGINE_PRICE = 0.15
-# Against it: short prompts that meet in one pass wait for one another. Grows with the
-# square of the places taken, so that an engine fills before the next is opened, but
-# not to its last place.
-CROWD_PRICE = 0.25
-# An endpoint that fails all of its calls counts as having so many more in hand: half
-# of a plain service's places, so that it is tried when the others are half full.
+# Price of placing a latency-sensitive stream on an engine that has none yet, as a share
+# of the loss when a short request is late. Without it short answers spread over all
+# engines, and a long prompt stops some of them wherever it is placed.
+FIRST_SENSITIVE_PRICE = 0.15
+# Price of an answer on an engine whose slots are all occupied; it counterbalances
+# FIRST_SENSITIVE_PRICE, since short prompts in the same pass wait for one another. It
+# is scaled by the square of the share of occupied slots, so that an engine fills up,
+# though not to its last slot, before latency-sensitive streams go to another engine.
+OCCUPANCY_PRICE = 0.25
+# Number of jobs added to the load of an endpoint that fails all of its calls: half the
+# slots of an endpoint of a plain service, so that the failing one is tried when the
+# others are half full.
 FAILURE_JOBS = 4
-# Streams whose pauses may be no longer than so many readings of a prompt of usual
-# length are latency-sensitive: a long prompt's part makes them late.
-SENSITIVE_READINGS = 4.0
+# A stream is latency-sensitive if its gap target is at most this many times the prefill
+# of a prompt of usual length: a part of a long prompt makes such a stream late.
+SENSITIVE_PREFILLS = 4.0
 
 
 class Part(NamedTuple):
-    """What one endpoint does for a request.
+    """A helper's share of a request.
 
-    ``reserved_tokens`` of its memory are reserved for the prompt, if any.
+    ``reserved_tokens`` is how many tokens of the endpoint's memory are reserved for the
+    prompt; 0 for none.
     """
 
     endpoint_id: str
@@ -68,10 +79,12 @@
 
 
 class Placement(NamedTuple):
-    """The endpoint that answers, its helpers, and the jobs to be counted there.
+    """The endpoint that answers, its helpers, and the jobs to count at each of them.
 
-    ``last_resort`` says that its endpoints get no other new work. Where the answering
-    endpoint has a rate limit, its permit is worth a wait of ``longest_wait`` seconds.
+    ``first_event_seconds`` is the predicted time until the answer's first event.
+    ``last_resort`` says that the endpoints are draining or taken out, and are used only
+    since no other answers. If the answering endpoint has a rate limit, the request
+    should wait for its permit up to ``longest_wait`` seconds.
     """
 
     endpoint_id: str
@@ -91,10 +104,11 @@
 
 
 class Placer:
-    """Places requests on endpoints; the caller passes what is known.
+    """Places requests on endpoints, by the load, health and slowdowns passed to it.
 
-    ``update_delay_seconds`` returns how old others' jobs are when they are heard of,
-    ``limit_wait`` how long an endpoint's rate limit keeps a request from it.
+    ``update_delay_seconds`` returns how many seconds pass until this daemon receives
+    the update about a job that another daemon has placed, ``limit_wait`` for how many
+    seconds an endpoint's rate limit delays a request.
     """
 
     def __init__(
@@ -120,21 +134,25 @@
         now: float,
         last_resort: Callable[[], EndpointPool] = _no_endpoints,
     ) -> Placement | None:
-        """Return where the request goes now, or None while no place is free.
+        """Return the placement of the request, or None while no slot is free.
 
-        Of many endpoints it looks at a sample: None may mean that these are full.
-        ``last_resort`` returns what may be used where none of them answers.
+        Of a large pool it compares a random sample only, so that None may mean that the
+        sampled endpoints are full. ``last_resort`` returns the endpoints to use if all
+        sampled endpoints are in a cooldown.
         """
-        drawn = self._candidates.drawn(demand, usable, now)
-        if all(each.cooling_down for each in drawn):
+        sampled = self._candidates.sample(demand, usable, now)
+        if all(each.cooling_down for each in sampled):
             others = self._candidates.untried(demand, last_resort(), now)
-            free = self._candidates.free(demand.service, sound(others), now)
+            free = self._candidates.with_free_slot(
+                demand.service, without_cooldown(others), now
+            )
             placement = self._place(demand, free, now)
             if placement is not None:
                 return placement._replace(last_resort=True)
-        free = self._candidates.free(demand.service, drawn, now)
-        # All of them resting, one that has just failed is better than none.
-        return self._place(demand, sound(free) or free, now)
+        free = self._candidates.with_free_slot(demand.service, sampled, now)
+        # If all of them are in a cooldown, an endpoint that has just failed is better
+        # than none.
+        return self._place(demand, without_cooldown(free) or free, now)
 
     def _place(
         self, demand: Demand, candidates: list[Candidate], now: float
@@ -162,11 +180,12 @@
             record = candidate.tracked.record
             endpoint_id = record.endpoint_id
             share = self._health.failure_share(endpoint_id, now)
-            # Rounded: a share that has all but decayed must not decide for good.
+            # Rounded, so that a failure share that has decayed to almost nothing no
+            # longer decides between endpoints that are otherwise equal.
             occupied = len(candidate.jobs) + round(FAILURE_JOBS * share, 1)
             slowdown = self._slowdowns.slowdown(endpoint_id, now, is_long=False)
-            away = record.failure_domain != demand.failure_domain
-            return (1 + occupied) * slowdown, away, self._rng.random()
+            is_remote = record.failure_domain != demand.failure_domain
+            return (1 + occupied) * slowdown, is_remote, self._rng.random()
 
         best = min(candidates, key=cost)
         job = Job(best.endpoint_id, 0, 0.0, now, now)
@@ -192,10 +211,14 @@
             if not holders <= parts <= len(engines):
                 continue
             if best is not None and ENGINE_PRICE * (parts - 1) >= best[0].cost:
-                break  # More parts cost more than all that they could save.
-            reading = prefill_time(profile, prompt.prompt_tokens, parts)
+                break  # The price of more helpers exceeds all that they could save.
+            part_seconds = prefill_time(profile, prompt.prompt_tokens, parts)
             work = Work(
-                demand.target_seconds, demand.gap_seconds, reading, parts > 1, value
+                demand.target_seconds,
+                demand.gap_seconds,
+                part_seconds,
+                parts > 1,
+                value,
             )
             split = Split(parts, holders, share)
             choice = choose(work, engines, split)
@@ -209,7 +232,7 @@
         return _placement(demand, prompt, choice, holders, value, now)
 
     def _in_flight(self, now: float) -> float:
-        """Return how many requests others have placed since their last news."""
+        """Return how many placements of other daemons are not known here yet."""
         return self._load.placed_each_second(now) * self._update_delay_seconds()
 
     def _engine(
@@ -226,11 +249,11 @@
         slots = candidate.tracked.record.slots
         taken = sum(not job.helper for job in jobs)
         occupied = taken / slots
-        answer_price = CROWD_PRICE * occupied**2
+        answer_price = OCCUPANCY_PRICE * occupied**2
         if is_sensitive and not any(
             job.gap_seconds <= sensitive_gap and not job.helper for job in jobs
         ):
-            answer_price += FRESH_ENGINE_PRICE
+            answer_price += FIRST_SENSITIVE_PRICE
         slowdown = self._slowdowns.slowdown(
             candidate.endpoint_id, now, is_long=not is_sensitive
         )
@@ -247,18 +270,18 @@
 
 
 def _value(profile: EngineProfile, prompt: PromptSize) -> float:
-    """Return what a late answer loses, in requests of the shortest kind.
+    """Return the loss when an answer is late, in units of the shortest request's loss.
 
-    It grows with the prompt, as what the caller has put into it and what its
-    repetition costs the fleet do.
+    It grows with the prompt, as do the caller's effort for the prompt and the cost to
+    the fleet of repeating the request.
     """
     return 1.0 + prompt.prompt_tokens / profile.usual_prompt_tokens
 
 
 def _sensitive_gap(profile: EngineProfile) -> float:
-    """Return up to which pause limit a stream is latency-sensitive."""
+    """Return the largest gap target, in seconds, of a latency-sensitive stream."""
     usual = round(profile.usual_prompt_tokens)
-    return SENSITIVE_READINGS * prefill_time(profile, usual)
+    return SENSITIVE_PREFILLS * prefill_time(profile, usual)
 
 
 def _placement(
@@ -272,11 +295,11 @@
     first, *helpers = choice.engines
     share = ceil(prompt.total / holders)
     expected_at = now + choice.seconds
-    kept = prompt.total - share * (holders - 1)
+    remaining_tokens = prompt.total - share * (holders - 1)
     main = Job(
         endpoint_id=first.endpoint_id,
-        held_tokens=kept,
-        prefill_seconds=choice.reading,
+        held_tokens=remaining_tokens,
+        prefill_seconds=choice.part_seconds,
         started_at=now,
         first_event_at=expected_at,
         due_at=demand.due_at,
@@ -292,7 +315,7 @@
         Job(
             part.endpoint_id,
             part.reserved_tokens,
-            choice.reading,
+            choice.part_seconds,
             now,
             expected_at,
             due_at=demand.due_at,
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -434,9 +434,9 @@
         engine = forecast(profile, [part], 0.0)
         one_pass = profile.stride * profile.step_seconds
         assert engine.first_event(0.02, joint=True) == pytest.approx(0.02 + one_pass)
-        assert engine.breaks(0.25, joint=True)
-        assert not engine.breaks(0.25)
-        assert not engine.breaks(1.2, joint=True)
+        assert engine.exceeds_gap(0.25, joint=True)
+        assert not engine.exceeds_gap(0.25)
+        assert not engine.exceeds_gap(1.2, joint=True)
 
     def test_an_answer_that_is_about_to_begin_is_spared_a_pause(self, profile):
         """A short prompt is being read; behind it comes a long one's part.
--- a/tests/test_slowdown.py
+++ b/tests/test_slowdown.py
@@ -72,7 +72,7 @@
     slow = forecast(PROFILE, [], 0.0, slowdown=5.0)
     fast = forecast(PROFILE, [], 0.0)
     assert slow.first_event(0.1) == pytest.approx(5 * fast.first_event(0.1))
-    assert slow.breaks(0.2) and not fast.breaks(0.2)
+    assert slow.exceeds_gap(0.2) and not fast.exceeds_gap(0.2)
 
 
 def test_short_prompts_avoid_a_slow_engine_while_others_have_room():
