--- a/cranberrywick/routing/connect_timeout.py
+++ b/cranberrywick/routing/connect_timeout.py
@@ -1,13 +1,14 @@
-"""How long a connection to an endpoint is waited for.
+"""Adaptive timeout for connections to endpoints.
 
-Load pattern: endpoints go dark, or are cut off, while their records still say that they
-are ready. Nothing answers a connection there, and a request with a target of some
-hundred milliseconds spends it waiting. What is usual is known from the connections that
-were answered, so that an unusual wait is noticed after a few of them; where connections
-take longer, as on a busy VM, the timeout grows with them.
+Load pattern: endpoints stop answering or are cut off from the network while their
+records still say that they are ready. A connection there is never accepted, and a
+request with a target of a few hundred milliseconds spends all of it waiting. The
+timeout is estimated from the connections that were accepted, so that after a few of
+them an unusually long wait is recognised; where connections take longer, as on a busy
+VM, the timeout grows with them.
 
-The estimate is the one of TCP's retransmission timer: mean and mean deviation, both
-smoothed.
+The estimate is that of TCP's retransmission timer (RFC 6298): the smoothed mean plus a
+multiple of the smoothed mean deviation.
 
 >>> timeout = ConnectTimeout()
 >>> timeout.seconds
@@ -19,21 +20,29 @@
 
 __all__ = ["ConnectTimeout", "is_own_delay"]
 
-LEAST_SECONDS = 0.05
-# A lost packet is sent again after a second: another endpoint is quicker than that.
-MOST_SECONDS = 0.25
+# Bounds of the timeout, in seconds.
+MIN_SECONDS = 0.05
+# TCP sends a lost packet again after one second; trying another endpoint is quicker.
+MAX_SECONDS = 0.25
+# Weights of the newest connection in the two means, as in RFC 6298.
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
+# Number of mean deviations by which the timeout exceeds the mean.
 DEVIATIONS = 4
-# A timeout that is noticed too late by more than this share of itself tells of a daemon
-# that was busy meanwhile; the connection may stand.
+# If a timeout is handled later than due by more than this share of itself, the daemon
+# was busy in the meantime, and the connection may have been accepted.
 OWN_DELAY_SHARE = 0.5
-# An estimate that is too low would fail every connection and never learn better.
+# Factor by which the timeout grows with each timeout in a row. Without it, an estimate
+# that is too low fails every connection and is never corrected, since only accepted
+# connections change it.
 BACKOFF = 2
 
 
 def is_own_delay(waited: float, allowed: float) -> bool:
-    """Whether a connection timed out since this daemon itself was held up.
+    """Whether a connection timed out because this daemon itself was delayed.
+
+    ``waited`` is the time since the connection began and ``allowed`` the timeout, both
+    in seconds.
 
     >>> is_own_delay(0.051, allowed=0.05), is_own_delay(0.2, allowed=0.05)
     (False, True)
@@ -42,7 +51,7 @@
 
 
 class ConnectTimeout:
-    """Learns how long connections take."""
+    """Estimates the timeout from the durations of earlier connections."""
 
     def __init__(self) -> None:
         self._mean: float | None = None
@@ -51,14 +60,14 @@
 
     @property
     def seconds(self) -> float:
-        """How long to wait for the next connection."""
+        """Timeout of the next connection, in seconds."""
         if self._mean is None:
-            return MOST_SECONDS
+            return MAX_SECONDS
         usual = self._mean + DEVIATIONS * self._deviation
-        return min(self._backoff * max(LEAST_SECONDS, usual), MOST_SECONDS)
+        return min(self._backoff * max(MIN_SECONDS, usual), MAX_SECONDS)
 
     def answered(self, seconds: float) -> None:
-        """Note how long a connection took."""
+        """Record an accepted connection and how many seconds it took."""
         self._backoff = 1
         if self._mean is None:
             self._mean, self._deviation = seconds, seconds / 2
@@ -68,7 +77,5 @@
         self._deviation += DEVIATION_WEIGHT * (abs(error) - self._deviation)
 
     def timed_out(self) -> None:
-        """Note a connection that was given up."""
-        self._backoff = min(
-            self._backoff * BACKOFF, round(MOST_SECONDS / LEAST_SECONDS)
-        )
+        """Record a connection that timed out."""
+        self._backoff = min(self._backoff * BACKOFF, round(MAX_SECONDS / MIN_SECONDS))
--- a/cranberrywick/routing/demand.py
+++ b/cranberrywick/routing/demand.py
@@ -1,4 +1,4 @@
-"""What a request needs of the endpoints, and whether they could ever give it."""
+"""The requirements of a request, and whether the endpoints could ever meet them."""
 
 from math import ceil
 from typing import NamedTuple
@@ -9,17 +9,21 @@
 
 __all__ = ["PART_CHOICES", "Demand", "fits_fleet", "least_seconds", "may_answer"]
 
-# Into how many parts a prompt may be divided. An endpoint takes at most 16 helpers.
+# The numbers of parts into which a prompt may be divided. An endpoint accepts at most
+# 16 helpers.
 PART_CHOICES = (1, 2, 3, 4, 6, 8, 12, 16)
 
 
 class Demand(NamedTuple):
-    """What a request needs of the decision.
-
-    ``due_at`` is the moment until which its first event is on time. ``tried_ids``
-    are the endpoints that have failed it, ``answering_ids`` the only ones that may
-    answer it, if not any; others may still help. It waits up to ``longest_wait``
-    seconds for a permit to be sent to an endpoint with a rate limit.
+    """The requirements of a request that its placement has to meet.
+
+    ``prompt`` is None for a request without one. ``target_seconds`` is the target for
+    the first event, ``due_at`` the latest time at which that is on time, and
+    ``gap_seconds`` the longest pause between events that is on time.
+    ``failure_domain`` is that of the daemon. ``tried_ids`` are the endpoints that have
+    failed the request. Only those in ``answering_ids`` may answer it, though others may
+    help; None allows all. It waits up to ``longest_wait`` seconds for the permit that
+    an endpoint with a rate limit requires.
     """
 
     request_id: str
@@ -35,36 +39,39 @@
 
 
 def may_answer(demand: Demand, endpoint_id: str) -> bool:
-    """Whether an endpoint may be the one that answers."""
+    """Whether the request allows an endpoint to answer it, and not only to help."""
     return demand.answering_ids is None or endpoint_id in demand.answering_ids
 
 
 def fits_fleet(demand: Demand, usable: EndpointPool) -> bool:
-    """Whether these endpoints could hold the request if they had nothing else.
+    """Whether these endpoints could hold the request if they had no other jobs.
 
-    What does not fit will not fit later either: its caller is told at once.
+    A request that does not fit won't fit later either, so it is refused at once.
     """
     tried = sum(usable.get(endpoint_id) is not None for endpoint_id in demand.tried_ids)
-    left = len(usable) - tried
-    if left <= 0 or not _has_answering(demand, usable):
+    untried = len(usable) - tried
+    if untried <= 0 or not _has_answering_endpoint(demand, usable):
         return False
     engine = demand.service.engine
     if engine is None or demand.prompt is None:
         return True
     holders = ceil(demand.prompt.total / engine.memory_tokens)
-    return holders <= min(left, PART_CHOICES[-1])
+    return holders <= min(untried, PART_CHOICES[-1])
 
 
 def least_seconds(demand: Demand) -> float:
-    """Return how long a request takes at least, at endpoints that do nothing else."""
+    """Return the shortest time to the first event, in seconds, at idle endpoints.
+
+    It is 0 for a request without a prompt.
+    """
     engine = demand.service.engine
     if engine is None or demand.prompt is None:
         return 0.0
     return prefill_time(engine, demand.prompt.prompt_tokens, PART_CHOICES[-1])
 
 
-def _has_answering(demand: Demand, usable: EndpointPool) -> bool:
+def _has_answering_endpoint(demand: Demand, usable: EndpointPool) -> bool:
     if demand.answering_ids is None:
         return True
-    left_ids = demand.answering_ids - demand.tried_ids
-    return any(usable.get(endpoint_id) is not None for endpoint_id in left_ids)
+    untried_ids = demand.answering_ids - demand.tried_ids
+    return any(usable.get(endpoint_id) is not None for endpoint_id in untried_ids)
--- a/cranberrywick/routing/directory.py
+++ b/cranberrywick/routing/directory.py
@@ -1,4 +1,4 @@
-"""Which addresses callers are told to use."""
+"""The addresses that callers receive to connect to."""
 
 import random
 from collections.abc import Sequence
@@ -7,21 +7,22 @@
 
 __all__ = ["ANSWER_SECONDS", "choose_addresses"]
 
-# How long callers may keep an answer. Some keep it three times as long, so that a
-# daemon which leaves has no new callers after three seconds.
+# How long callers may cache an answer, in seconds. Some cache it three times as long,
+# so that a leaving daemon has no new callers after three seconds.
 ANSWER_SECONDS = 1
-# Callers take no more.
+# Largest number of addresses that callers accept.
 MAX_ADDRESSES = 64
 
 
 def choose_addresses(
     serving: Sequence[Heartbeat], own: str, leaving: bool, rng: random.Random
 ) -> list[str]:
-    """Return the entry addresses of the daemons that live and take callers.
+    """Return the entry addresses of the daemons that are alive and accept callers.
 
-    ``own`` is this daemon's address, empty if it takes none. A daemon that is
-    leaving, or not ready yet, names itself only where nobody else is known: an
-    address that still answers is better than none.
+    ``own`` is this daemon's address, empty if it accepts no callers. A daemon that is
+    leaving, or not ready yet, includes itself only if no other daemon is known: an
+    address that still answers is better than none. Of too many addresses a random
+    sample is returned.
     """
     addresses = [beat.entry_address for beat in serving if beat.entry_address]
     if own and not leaving:
--- a/tests/test_connect_timeout.py
+++ b/tests/test_connect_timeout.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from cranberrywick.routing.connect_timeout import (
-    LEAST_SECONDS,
-    MOST_SECONDS,
+    MAX_SECONDS,
+    MIN_SECONDS,
     ConnectTimeout,
     is_own_delay,
 )
@@ -56,7 +56,7 @@
         waits.append(timeout.seconds)
         timeout.timed_out()
     assert waits == sorted(waits)
-    assert timeout.seconds == MOST_SECONDS
+    assert timeout.seconds == MAX_SECONDS
     timeout.answered(0.004)
     assert timeout.seconds == waits[0]
 
@@ -69,4 +69,4 @@
             timeout.timed_out()
         else:
             timeout.answered(seconds)
-        assert LEAST_SECONDS <= timeout.seconds <= MOST_SECONDS
+        assert MIN_SECONDS <= timeout.seconds <= MAX_SECONDS
