--- a/cranberrywick/routing/endpoint_limits.py
+++ b/cranberrywick/routing/endpoint_limits.py
@@ -1,9 +1,10 @@
-"""What rate limits endpoints have, as their answers name them.
+"""The rate limits that endpoints state in their answers.
 
-Load pattern: an endpoint in need names in its answers how many requests a second it
-takes from all daemons together, changes that as it recovers, and names none in the
-end. Few requests go to it meanwhile, so most daemons get no answer that says so; each
-tells the others what its own answers have shown, and the newest answer counts.
+Load pattern: an overloaded endpoint states in its answers how many requests a second it
+accepts from all daemons together, changes this rate as it recovers, and at last states
+none. Since few requests are sent to it meanwhile, most daemons receive no answer that
+shows the limit. Each daemon therefore sends the others what its own answers have shown,
+and the newest answer counts.
 """
 
 from collections.abc import Set
@@ -12,18 +13,20 @@
 
 __all__ = ["EndpointLimits", "LimitChange", "LimitReport"]
 
-# How long a daemon tells what it has seen: several heartbeats, of which some are lost.
+# How long a daemon sends what its own answers have shown, in seconds. This covers
+# several heartbeats, since some are lost.
 REPORT_SECONDS = 3.0
-# How long the end of a limit is remembered, against reports of the limit that are
-# still under way.
+# How long the end of a limit is kept, in seconds, so that a delayed report of the limit
+# does not bring it back.
 ENDED_SECONDS = 30.0
 
 
 class LimitReport(NamedTuple):
-    """The limit of an endpoint, in requests a second, as an answer named it.
+    """The limit of an endpoint, in requests a second, as an answer stated it.
 
-    ``rate`` is infinite where the answer named none. ``free_at`` is when the endpoint
-    can take one more request, where its steward tells.
+    ``rate`` is infinite if the answer stated none, and ``seen_at`` the time of the
+    answer. ``free_at`` is the time at which the endpoint can accept one more request;
+    only its steward sets it.
     """
 
     endpoint_id: str
@@ -33,7 +36,7 @@
 
 
 class LimitChange(NamedTuple):
-    """A change of belief, for the log; rates are in requests a second."""
+    """A change of a known limit, for the log; rates are in requests a second."""
 
     endpoint_id: str
     rate: float
@@ -41,12 +44,12 @@
 
     @property
     def is_fall(self) -> bool:
-        """Whether the endpoint takes less than before."""
+        """Whether the endpoint accepts less than before."""
         return self.rate < self.previous
 
     @property
     def log_fields(self) -> dict[str, object]:
-        """What a line of the log tells of it."""
+        """Fields for the log line about the change."""
         return {
             "endpoint": self.endpoint_id,
             "limit": self.rate,
@@ -64,7 +67,7 @@
 
 
 class EndpointLimits:
-    """The limits in force, by endpoint.
+    """The newest known limit of each endpoint.
 
     >>> limits = EndpointLimits()
     >>> limits.observe("e1", 2.0, now=10.0)
@@ -80,22 +83,24 @@
         return bool(self._observations_by_id)
 
     def observe(self, endpoint_id: str, rate: float, now: float) -> LimitChange | None:
-        """Take what an answer to this daemon says; return what it changes."""
+        """Record the rate in an answer to this daemon; return the change, if any."""
         if isfinite(rate) or endpoint_id in self._observations_by_id:
-            return self._take(endpoint_id, _Observation(rate, now, is_own=True))
+            return self._record(endpoint_id, _Observation(rate, now, is_own=True))
         return None
 
     def receive(self, report: LimitReport) -> LimitChange | None:
-        """Take what a peer tells; return what it changes."""
+        """Record a peer's report unless it is outdated; return the change, if any."""
         known = self._observations_by_id.get(report.endpoint_id)
         if known is None and report.rate == inf:
             return None
         if known is not None and report.seen_at <= known.seen_at:
             return None
         observation = _Observation(report.rate, report.seen_at, is_own=False)
-        return self._take(report.endpoint_id, observation)
+        return self._record(report.endpoint_id, observation)
 
-    def _take(self, endpoint_id: str, observation: _Observation) -> LimitChange | None:
+    def _record(
+        self, endpoint_id: str, observation: _Observation
+    ) -> LimitChange | None:
         previous = self.rate(endpoint_id)
         self._observations_by_id[endpoint_id] = observation
         if observation.rate == previous:
@@ -103,25 +108,25 @@
         return LimitChange(endpoint_id, observation.rate, previous)
 
     def rate(self, endpoint_id: str) -> float:
-        """Return an endpoint's limit; infinity without one."""
+        """Return an endpoint's limit in requests a second; infinity without one."""
         return self._observations_by_id.get(endpoint_id, _NEVER_SEEN).rate
 
     def age(self, endpoint_id: str, now: float) -> float:
-        """Return how long ago the newest answer was seen; infinity without any."""
+        """Return the age of the newest answer, in seconds; infinity without any."""
         return now - self._observations_by_id.get(endpoint_id, _NEVER_SEEN).seen_at
 
     @property
     def limited_ids(self) -> list[str]:
-        """The endpoints that have a limit."""
-        return [i for i, b in self._observations_by_id.items() if isfinite(b.rate)]
+        """The ids of the endpoints that have a limit."""
+        return [i for i, o in self._observations_by_id.items() if isfinite(o.rate)]
 
     def report(self, endpoint_id: str) -> LimitReport:
-        """Return what is known of an endpoint's limit."""
+        """Return the newest known report of an endpoint's limit."""
         observation = self._observations_by_id.get(endpoint_id, _NEVER_SEEN)
         return LimitReport(endpoint_id, observation.rate, observation.seen_at)
 
     def recent_ids(self, now: float) -> list[str]:
-        """Return the endpoints of which this daemon's own answers told lately."""
+        """Return the ids of the endpoints whose answers to this daemon are recent."""
         return [
             endpoint_id
             for endpoint_id, observation in self._observations_by_id.items()
@@ -129,10 +134,10 @@
         ]
 
     def forget(self, registered_ids: Set[str], now: float) -> None:
-        """Drop endpoints that are gone, and limits that ended long ago."""
+        """Remove endpoints that are not registered, and limits that ended long ago."""
         for endpoint_id, observation in list(self._observations_by_id.items()):
-            is_over = (
+            is_expired = (
                 observation.rate == inf and now - observation.seen_at > ENDED_SECONDS
             )
-            if is_over or endpoint_id not in registered_ids:
+            if is_expired or endpoint_id not in registered_ids:
                 del self._observations_by_id[endpoint_id]
