--- a/cranberrywick/routing/fleet_limits.py
+++ b/cranberrywick/routing/fleet_limits.py
@@ -1,19 +1,21 @@
-"""Rate limits of endpoints that the daemons keep together.
-
-Load pattern: hundreds of daemons before an endpoint that takes one request a second
-from all of them, or a few while it is cold. Kept by each daemon for itself, such a
-limit is exceeded as many times as there are daemons; divided among them, each part is
-less than one request. Here one daemon, the endpoint's steward, gives permits at the
-rate of the limit, and nobody sends to the endpoint without one.
-
-The steward is found by rendezvous hashing over the daemons that live and serve, so
-that nobody has to appoint it. It may die, and daemons that can't reach one another
-each find their own:
-
-- a steward that takes over starts with one permit, and those that wait for their moment
-  end with the steward that gave them;
-- permits are given for the share of the fleet that both sides know to live. Two halves
-  that have lost each other get half of the rate each.
+"""Rate limits of endpoints, enforced over all daemons of the fleet together.
+
+Load pattern: hundreds of daemons send to an endpoint that accepts one request a second
+from all of them, or a few while it is cold. If each daemon enforced the limit on its
+own, the endpoint would get as many times the limit as there are daemons; if the limit
+were divided among them, each share would be less than one request. Here one daemon, the
+endpoint's steward, grants permits at the rate of the limit, and no daemon sends to the
+endpoint without one.
+
+The steward is chosen by rendezvous hashing over the daemons that are alive and serving,
+so that no election is needed. It may die, and daemons that can't reach one another each
+choose their own steward:
+
+- a new steward starts with one permit, and permits that are granted for a later time
+  are void when the steward that granted them is lost;
+- permits are granted at the share of the rate that equals the share of the fleet which
+  both sides know to be alive. Two halves of a fleet that can't reach each other each
+  use half of the rate.
 """
 
 from collections.abc import Callable, Set
@@ -31,25 +33,26 @@
 
 __all__ = ["LEAST_RATE", "FleetLimits", "Permit", "longest_permit_wait"]
 
-# Permits of so many seconds may be left unused and are given at once later. With the
-# one that is always given, this bounds what an endpoint gets in a burst.
+# Unused permits are kept for this many seconds of the rate and may be granted at once
+# later. One more permit than these is the most that an endpoint gets in a burst.
 BURST_SECONDS = 0.5
-# In requests a second. An endpoint that takes less still gets so many: without any, its
-# answers could not show that the limit has ended.
+# Lowest rate of permits, in requests a second, also for an endpoint that accepts fewer:
+# without any request, no answer could show that its limit has ended.
 LEAST_RATE = 0.25
-# A request waits no longer than this for a permit, and no more than a share of the time
-# that it has, so that it is served and its caller hears of a refusal early.
+# Longest wait of a request for a permit, in seconds, and as a share of the time that
+# the request has left. The bounds leave time to serve it, or to refuse it early.
 LONGEST_PERMIT_WAIT_SECONDS = 1.0
 PERMIT_WAIT_SHARE = 0.5
-# An endpoint whose steward gave no answer is left alone for this long.
+# For how many seconds requests avoid an endpoint whose steward did not answer.
 UNANSWERED_PAUSE_SECONDS = 0.3
 
 
 class PermitTerms(NamedTuple):
-    """What a daemon that asks for a permit wants and knows.
+    """The terms of a daemon's request for a permit.
 
-    ``rate`` is the endpoint's limit in requests a second, ``live_share`` how much of
-    the fleet is known to live, ``longest_wait`` for how many seconds it would wait.
+    ``rate`` is the endpoint's limit in requests a second, as this daemon knows it,
+    ``live_share`` the share of the fleet that it knows to be alive, and
+    ``longest_wait`` how many seconds the request would wait.
     """
 
     rate: float
@@ -60,8 +63,8 @@
 class Permit(NamedTuple):
     """A steward's answer: whether one request may be sent to an endpoint, and when.
 
-    ``wait_seconds`` is how long to wait before the send. The endpoint can take another
-    one after ``free_seconds``.
+    ``wait_seconds`` is how long to wait before sending it. The endpoint can accept
+    another one after ``free_seconds``.
     """
 
     granted: bool
@@ -73,7 +76,9 @@
 
 
 def longest_permit_wait(remaining_seconds: float) -> float:
-    """Return how long a request with so much time left may wait for a permit.
+    """Return how many seconds a request may wait for a permit.
+
+    ``remaining_seconds`` is the time that the request has left.
 
     >>> longest_permit_wait(10.0), longest_permit_wait(0.6)
     (1.0, 0.3)
@@ -82,10 +87,11 @@
 
 
 class FleetLimits:
-    """The limits of endpoints, and the permits that this daemon gives as a steward.
+    """The limits of endpoints, and the permits that this daemon grants as a steward.
 
-    ``is_leaving`` says whether this daemon takes no callers. ``declared_rate`` returns
-    the limit of an endpoint that its answers don't name, in requests a second.
+    ``is_leaving`` returns whether this daemon accepts no callers. ``declared_rate``
+    returns an endpoint's limit in requests a second that holds whatever its answers
+    state, such as that of a cold endpoint; infinity without one.
     """
 
     def __init__(
@@ -104,14 +110,14 @@
         self._free_at_by_id: dict[str, float] = {}
         self._stewards = _Stewards()
 
-    # What is known of limits
+    # Known limits
 
     def observe(self, endpoint_id: str, rate: float, now: float) -> LimitChange | None:
-        """Take what an answer to this daemon says; return what it changes."""
+        """Record the rate in an answer to this daemon; return the change, if any."""
         return self._record(self._limits.observe(endpoint_id, rate, now))
 
     def receive(self, report: LimitReport) -> LimitChange | None:
-        """Take what a peer tells; return what it changes."""
+        """Record a peer's report unless it is outdated; return the change, if any."""
         change = self._record(self._limits.receive(report))
         if report.free_at is not None and isfinite(self.rate(report.endpoint_id)):
             self._free_at_by_id[report.endpoint_id] = report.free_at
@@ -119,12 +125,13 @@
 
     def _record(self, change: LimitChange | None) -> LimitChange | None:
         if change is not None:
-            # What stewards said of the earlier rate holds no longer.
+            # The time that a steward gave for the earlier rate is no longer valid.
             self._free_at_by_id.pop(change.endpoint_id, None)
             if change.rate == inf:
                 self._buckets_by_id.pop(change.endpoint_id, None)
             elif change.endpoint_id in self._buckets_by_id and change.is_fall:
-                # Whoever waits for a permit asks anew, see `EndpointPermits`.
+                # Requests that wait for a permit request it again, see
+                # `EndpointPermits`.
                 self._buckets_by_id[change.endpoint_id].cancel_waiting()
         return change
 
@@ -133,29 +140,29 @@
         return min(self._limits.rate(endpoint_id), self._declared_rate(endpoint_id))
 
     def age(self, endpoint_id: str, now: float) -> float:
-        """Return how many seconds ago the newest answer told of the limit."""
+        """Return the age of the newest answer, in seconds; infinity without any."""
         return self._limits.age(endpoint_id, now)
 
     def report(self, endpoint_id: str) -> LimitReport:
-        """Return what answers have told of an endpoint's limit."""
+        """Return the newest known report of an endpoint's limit."""
         return self._limits.report(endpoint_id)
 
     def reports(self, now: float) -> list[LimitReport]:
-        """Return what this daemon tells the others.
+        """Return the reports that this daemon sends to the others.
 
-        That is what its answers have shown lately, and the limits in force of which it
-        is the steward: those are told as long as they last.
+        These are the rates that recent answers to it have stated, and all limits in
+        force at endpoints whose steward it is.
         """
         if not self._limits:
             return []
-        own_ids = self._own_ids(now)
+        steward_ids = self._steward_ids(now)
         share = self._members.live_share(now)
-        reports = [self._steward_report(i, share, now) for i in own_ids]
-        recent_ids = set(self._limits.recent_ids(now)) - set(own_ids)
+        reports = [self._steward_report(i, share, now) for i in steward_ids]
+        recent_ids = set(self._limits.recent_ids(now)) - set(steward_ids)
         return reports + [self.report(endpoint_id) for endpoint_id in recent_ids]
 
-    def _own_ids(self, now: float) -> list[str]:
-        """Return the limited endpoints whose steward this daemon is."""
+    def _steward_ids(self, now: float) -> list[str]:
+        """Return the ids of the limited endpoints whose steward this daemon is."""
         self._stewards.set_members(self._candidates(now).keys())
         choose = self._stewards.choose
         return [i for i in self._limits.limited_ids if choose(i) == self._daemon_id]
@@ -168,14 +175,14 @@
         return self.report(endpoint_id)._replace(free_at=free_at)
 
     def all_reports(self, now: float) -> list[LimitReport]:
-        """Return what a daemon is told that has just started."""
+        """Return the reports for a daemon that has just started: all known limits."""
         known = {report.endpoint_id: report for report in self.reports(now)}
         for endpoint_id in self._limits.limited_ids:
             known.setdefault(endpoint_id, self.report(endpoint_id))
         return list(known.values())
 
     def forget(self, registered_ids: Set[str], now: float) -> None:
-        """Drop what is known of endpoints that are gone."""
+        """Remove the state of endpoints that are no longer registered."""
         self._limits.forget(registered_ids, now)
         for by_id in (self._buckets_by_id, self._free_at_by_id):
             for endpoint_id in by_id.keys() - registered_ids:
@@ -184,13 +191,13 @@
     # Permits
 
     def steward(self, endpoint_id: str, now: float) -> Heartbeat | None:
-        """Return the daemon that gives permits for an endpoint; None for this one."""
+        """Return the endpoint's steward; None if it is this daemon."""
         candidates = self._candidates(now)
         self._stewards.set_members(candidates.keys())
         return candidates[self._stewards.choose(endpoint_id)]
 
     def _candidates(self, now: float) -> dict[str, Heartbeat | None]:
-        """Return who may be a steward, by id; None stands for this daemon."""
+        """Return the daemons that may be a steward, by id; None for this daemon."""
         beats_by_id: dict[str, Heartbeat | None] = {
             beat.daemon_id: beat for beat in self._members.serving(now)
         }
@@ -199,12 +206,12 @@
         return beats_by_id
 
     def terms(self, endpoint_id: str, longest_wait: float, now: float) -> PermitTerms:
-        """Return what this daemon asks a steward for."""
+        """Return the terms on which this daemon requests a permit from the steward."""
         share = self._members.live_share(now)
         return PermitTerms(self.rate(endpoint_id), share, longest_wait)
 
     def grant(self, endpoint_id: str, terms: PermitTerms, now: float) -> Permit:
-        """Give a permit, as the endpoint's steward."""
+        """Grant or refuse a permit, as the endpoint's steward."""
         rate = min(terms.rate, self.rate(endpoint_id))
         if rate == inf:
             return NO_LIMIT
@@ -217,15 +224,15 @@
         return Permit(True, wait, bucket.wait_seconds(now))
 
     def record_permit(self, endpoint_id: str, permit: Permit, now: float) -> None:
-        """Take a steward's answer."""
+        """Record a steward's answer."""
         self._free_at_by_id[endpoint_id] = now + permit.free_seconds
 
     def record_unanswered(self, endpoint_id: str, now: float) -> None:
-        """Leave an endpoint alone whose steward gave no answer."""
+        """Make requests avoid an endpoint for a while whose steward did not answer."""
         self._free_at_by_id[endpoint_id] = now + UNANSWERED_PAUSE_SECONDS
 
     def wait_seconds(self, endpoint_id: str, now: float) -> float:
-        """Return how long a request would wait for a permit, as far as known here.
+        """Return how many seconds a request would wait for a permit, as known here.
 
         It is zero for an endpoint without a limit.
         """
@@ -246,7 +253,7 @@
 
 
 class _Stewards:
-    """Chooses by rendezvous hashing, and remembers it until other daemons live."""
+    """Chooses stewards by rendezvous hashing; caches them until the members change."""
 
     def __init__(self) -> None:
         self._daemon_ids: frozenset[str] = frozenset()
