--- a/cranberrywick/routing/health.py
+++ b/cranberrywick/routing/health.py
@@ -1,8 +1,9 @@
-"""Which endpoints fail, judged by this daemon's own attempts.
+"""Detection of failing endpoints, from the outcomes of this daemon's own attempts.
 
-Load pattern: an endpoint crashes, goes dark or fails part of its requests while its
-record in the store still says that it is ready. It answers faster than the others
-and looks idle, so without this it draws all new work and fails it.
+Load pattern: an endpoint crashes, stops answering or fails some of its requests while
+its record in the store still says that it is ready. Since it fails requests faster than
+the others answer theirs, it looks idle; without this module it would receive all new
+work, and fail it.
 """
 
 from collections.abc import Set
@@ -10,15 +11,17 @@
 
 __all__ = ["EndpointHealth"]
 
-# An endpoint that failed gets nothing for this long, doubled with each failure in a
-# row: it is noticed as gone from the store within some three heartbeats, a few seconds.
+# Cooldown after a failure, in seconds; it doubles with each failure in a row, up to the
+# maximum. By then the store shows that a dead endpoint is gone, which takes about three
+# of its heartbeats, a few seconds.
 COOLDOWN_SECONDS = 0.5
 MAX_COOLDOWN_SECONDS = 4.0
-# Weight of the newest outcome in the share of failures: some ten outcomes count.
+# Weight of the newest outcome in the moving average of failures, which thus covers
+# about ten outcomes.
 OUTCOME_WEIGHT = 0.1
-# After so long without an attempt, half of a share of failures is forgotten. An
-# endpoint that is passed over for its failures gets no chance to do better, and would
-# stay out for good while others are free.
+# Without attempts, the failure share halves in this many seconds. An endpoint that is
+# avoided for its failures has no attempts to improve its share, and without the decay
+# would be avoided for ever while others are free.
 HALF_LIFE_SECONDS = 2.0
 
 
@@ -32,57 +35,57 @@
         return self.failure_share * 0.5 ** ((now - self.judged_at) / HALF_LIFE_SECONDS)
 
 
-_FRESH = _State(0, float("-inf"), 0.0, 0.0)
+_NO_FAILURES = _State(0, float("-inf"), 0.0, 0.0)
 
 
 class EndpointHealth:
-    """Gives endpoints that fail a cooldown, and remembers how often each fails."""
+    """Sets cooldowns for failing endpoints and tracks the failure share of each."""
 
     def __init__(self) -> None:
         self._states_by_id: dict[str, _State] = {}
 
     def succeeded(self, endpoint_id: str, now: float) -> None:
-        """Note an answer as it should be."""
+        """Record a successful answer."""
         state = self._states_by_id.get(endpoint_id)
         if state is not None:
             share = state.share(now) * (1 - OUTCOME_WEIGHT)
             self._states_by_id[endpoint_id] = _State(0, float("-inf"), share, now)
 
     def failed(self, endpoint_id: str, now: float) -> float:
-        """Note a failure of the endpoint and return its cooldown, in seconds."""
-        state = self._states_by_id.get(endpoint_id, _FRESH)
+        """Record a failure of the endpoint and return its cooldown, in seconds."""
+        state = self._states_by_id.get(endpoint_id, _NO_FAILURES)
         cooldown = min(COOLDOWN_SECONDS * 2**state.failures, MAX_COOLDOWN_SECONDS)
         self._states_by_id[endpoint_id] = _State(
-            state.failures + 1, now + cooldown, _worse(state, now), now
+            state.failures + 1, now + cooldown, _share_after_failure(state, now), now
         )
         return cooldown
 
     def answered_failure(self, endpoint_id: str, now: float) -> None:
-        """Note an answer that is a failure; the endpoint itself lives.
+        """Record an answer that reports a failure; the endpoint itself is alive.
 
-        Some requests fail at every endpoint: a cooldown for each that says so would
-        take all of them out, one after the other.
+        It causes no cooldown: some requests fail at every endpoint, and would take all
+        of them out of use one after the other.
         """
-        state = self._states_by_id.get(endpoint_id, _FRESH)
+        state = self._states_by_id.get(endpoint_id, _NO_FAILURES)
         self._states_by_id[endpoint_id] = state._replace(
-            failure_share=_worse(state, now), judged_at=now
+            failure_share=_share_after_failure(state, now), judged_at=now
         )
 
     def is_cooling_down(self, endpoint_id: str, now: float) -> bool:
-        """Whether the endpoint has just failed and should get nothing now."""
-        return self._states_by_id.get(endpoint_id, _FRESH).cooldown_until > now
+        """Whether the endpoint has just failed and should get no requests now."""
+        return self._states_by_id.get(endpoint_id, _NO_FAILURES).cooldown_until > now
 
     def failure_share(self, endpoint_id: str, now: float) -> float:
-        """Return how many of the last attempts failed, between 0 and 1."""
+        """Return the share of recent attempts that failed, between 0 and 1."""
         state = self._states_by_id.get(endpoint_id)
         return state.share(now) if state else 0.0
 
     def keep_only(self, endpoint_ids: Set[str]) -> None:
-        """Forget endpoints that are gone."""
+        """Remove the state of all endpoints but these."""
         for endpoint_id in self._states_by_id.keys() - endpoint_ids:
             del self._states_by_id[endpoint_id]
 
 
-def _worse(state: _State, now: float) -> float:
+def _share_after_failure(state: _State, now: float) -> float:
     share = state.share(now)
     return share + OUTCOME_WEIGHT * (1 - share)
