--- a/cranberrywick/routing/model.py
+++ b/cranberrywick/routing/model.py
@@ -1,7 +1,7 @@
-"""Values that the gateway's decisions take and give.
+"""Value types of the gateway's routing decisions.
 
-All times are seconds. A moment is a reading of one monotonic clock that the caller
-supplies; it means nothing in another process.
+All durations are in seconds. A point in time is a reading of a monotonic clock that the
+caller supplies; it is meaningless in another process.
 """
 
 from collections.abc import Iterable, Mapping
@@ -28,7 +28,7 @@
 
 
 class RouteKind(StrEnum):
-    """What a repeated request would do."""
+    """Whether a request may be repeated; `Route.idempotent` gives the rule."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -36,12 +36,13 @@
 
 
 class Route(NamedTuple):
-    """Where the requests under one host and path prefix go, and their targets.
+    """The services for requests under one host and path prefix, and their targets.
 
-    ``timeout_seconds`` is the longest that a caller is kept, ``target_seconds``
-    when an answer (of a stream, its first event) is on time, and
-    ``gap_target_seconds`` the longest pause between events that is still on time.
-    ``max_endpoints`` bounds how many endpoints one request may be sent to.
+    ``timeout_seconds`` is the longest time that a caller waits, ``target_seconds`` the
+    time within which an answer (of a stream, its first event) is on time, and
+    ``gap_target_seconds`` the longest pause between events that is on time.
+    ``max_endpoints`` is the largest number of endpoints to which one request may be
+    sent. ``resumable`` says that a stream can be continued at another endpoint.
     """
 
     name: str
@@ -59,21 +60,22 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may have been executed can be sent again."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.SAFE
 
 
 class EngineProfile(NamedTuple):
-    """How a model engine spends its time, as its service declares it.
-
-    A step writes one token for each running answer and takes ``step_seconds``
-    plus, for each answer, ``writer_seconds`` and ``context_seconds`` for each token
-    of its context. Reading takes ``1 / prefill_rate`` a token and ``pair_seconds`` for
-    each pair of a token and an earlier one, ``chunk_tokens`` at a time. A pass
-    with running answers makes ``stride`` steps. ``usual_prompt_tokens`` is the mean
-    length of a prompt.
+    """The speed and size of a model engine, as its service declares them.
+
+    The engine decodes up to ``slots`` answers at once and holds ``memory_tokens``
+    tokens. A step decodes one token for each running answer and takes ``step_seconds``
+    plus, for each answer, ``writer_seconds`` and ``context_seconds`` for each token of
+    its context. Prefill takes ``1 / prefill_rate`` seconds for each token and
+    ``pair_seconds`` for each pair of a token and an earlier one; it is done in chunks
+    of ``chunk_tokens``. A pass with running answers makes ``stride`` steps.
+    ``usual_prompt_tokens`` is the mean length of a prompt.
     """
 
     slots: int
@@ -91,7 +93,8 @@
 class Service(NamedTuple):
     """A set of endpoints of one kind; ``engine`` is None for a plain service.
 
-    A cold endpoint bears ``cold_rate`` requests a second from the whole fleet.
+    An endpoint is cold for ``cold_seconds`` after its start, and accepts ``cold_rate``
+    requests a second from the whole fleet during that time.
     """
 
     name: str
@@ -101,7 +104,7 @@
 
 
 class RequestLimits(NamedTuple):
-    """What a caller may send, in bytes, and how long it may take, in seconds."""
+    """The largest request of a caller, in bytes, and the longest times, in seconds."""
 
     header_bytes: int
     body_bytes: int
@@ -110,14 +113,14 @@
 
 
 class Organisation(NamedTuple):
-    """Who a key belongs to; a priority of None leaves the route's in force."""
+    """The owner of a key; with a priority of None the route's priority applies."""
 
     name: str
     priority: int | None
 
 
 class GatewayConfiguration(NamedTuple):
-    """One version of what operators decided; versions only grow."""
+    """One version of the operators' configuration; versions only grow."""
 
     version: int
     routes: tuple[Route, ...]
@@ -127,7 +130,12 @@
 
 
 class EndpointRecord(NamedTuple):
-    """One registered endpoint; ``cold_seconds`` counts from the record's reading."""
+    """One registered endpoint.
+
+    ``cold_seconds`` is how long it stays cold after the record was read from the store.
+    ``born`` changes with each restart, and ``draining`` says that the endpoint is
+    leaving.
+    """
 
     endpoint_id: str
     service: str
@@ -140,26 +148,27 @@
 
 
 class PromptSize(NamedTuple):
-    """How long a prompt is and how long its answer may get, in tokens."""
+    """The length of a prompt and the largest length of its answer, in tokens."""
 
     prompt_tokens: int
     output_tokens: int
 
     @property
     def total(self) -> int:
-        """Tokens of engine memory that the request needs in the end."""
+        """Engine memory that the request needs at its end, in tokens."""
         return self.prompt_tokens + self.output_tokens
 
 
 class BoundsSettings(NamedTuple):
-    """Limits that the deployment sets for how the fleet behaves.
-
-    A daemon that is lost must be noticed some seconds after ``contact_seconds``; an
-    endpoint that leaves gets new work for up to ``drain_seconds``; a daemon that is
-    told to stop has ``grace_seconds``. Second tries within ``retry_window_seconds``
-    are at most ``retry_ratio`` of the requests and ``retry_slack`` more. Memory at an
-    engine must be free again ``free_seconds`` after its last use. An endpoint of a
-    failure domain that is taken out gets new work for up to ``evacuate_seconds``.
+    """Bounds that the deployment sets for the behaviour of the fleet.
+
+    A lost daemon must be detected within a few seconds more than ``contact_seconds``. A
+    leaving endpoint gets new work for at most ``drain_seconds``. A daemon that is
+    ordered to stop has ``grace_seconds`` to do so. Retries within
+    ``retry_window_seconds`` are at most ``retry_ratio`` of the requests, plus
+    ``retry_slack``. Memory at an engine must be free again ``free_seconds`` after its
+    last use. An endpoint of a failure domain that is taken out gets new work for at
+    most ``evacuate_seconds``.
     """
 
     contact_seconds: float
@@ -173,10 +182,11 @@
 
 
 class GatewaySettings(NamedTuple):
-    """What one daemon is told at its start.
+    """Settings of one daemon, read at its start.
 
-    ``entry_address`` takes callers, ``directory_address`` tells them where to
-    connect, ``ready_address`` answers health checks; each may be empty.
+    ``entry_address`` accepts callers, ``directory_address`` answers with the addresses
+    that callers may connect to, and ``ready_address`` answers health checks; each may
+    be empty.
     """
 
     daemon_id: str
@@ -193,17 +203,18 @@
 
 
 class EndpointDelta(NamedTuple):
-    """What leads from one view of the endpoints to another."""
+    """The difference between two snapshots of the endpoints."""
 
     changed: tuple[EndpointRecord, ...]
     gone_ids: tuple[str, ...]
 
 
 class EndpointView(NamedTuple):
-    """Every registered endpoint at one revision of the store.
+    """A snapshot of all registered endpoints at one revision of the store.
 
-    ``unusable_ids`` are records that could not be read as an endpoint. Two views with
-    the same ``digest`` say the same, but for how long endpoints stay cold.
+    ``unusable_ids`` are the ids of records that could not be decoded as an endpoint.
+    Two snapshots with the same ``digest`` are equal, except for how long endpoints stay
+    cold.
     """
 
     revision: int
@@ -212,11 +223,11 @@
 
     @property
     def digest(self) -> int:
-        """A hash of what the records say."""
+        """A hash of the records, apart from how long endpoints stay cold."""
         return _digest(0, self.records_by_id.values())
 
     def delta_from(self, base: "EndpointView") -> EndpointDelta:
-        """Return what has changed since another view."""
+        """Return the changes since another snapshot."""
         before, after = base.records_by_id, self.records_by_id
         if before is after:
             return EndpointDelta((), ())
@@ -226,7 +237,7 @@
         )
 
     def with_delta(self, delta: EndpointDelta, revision: int) -> "EndpointView":
-        """Return the view that a delta leads to."""
+        """Return the snapshot that results from applying a delta."""
         records = dict(self.records_by_id)
         for endpoint_id in delta.gone_ids:
             records.pop(endpoint_id, None)
@@ -234,7 +245,7 @@
         return self._replace(revision=revision, records_by_id=records)
 
     def digest_with_delta(self, delta: EndpointDelta, digest: int) -> int:
-        """Return the digest after a delta, given this view's."""
+        """Return the digest after a delta, given the digest of this snapshot."""
         before = self.records_by_id
         replaced = [before.get(record.endpoint_id) for record in delta.changed]
         replaced += [before.get(endpoint_id) for endpoint_id in delta.gone_ids]
@@ -243,7 +254,7 @@
 
 
 def _digest(digest: int, records: Iterable[EndpointRecord]) -> int:
-    """Return a digest with records added, or taken out if they were in it."""
+    """Return a digest with records added, or removed if it contains them already."""
     for record in records:
         lasting = record._replace(cold_seconds=float(record.cold_seconds > 0))
         hashed = blake2b(repr(lasting).encode(), digest_size=8)
@@ -252,11 +263,12 @@
 
 
 class OperatorView(NamedTuple):
-    """What operators have written, as of one revision of the store.
+    """A snapshot of the operators' settings at one revision of the store.
 
-    ``document`` is the configuration as it lies in the store, empty before the
-    first one. Two views with the same ``digest`` say the same: revisions alone
-    can't tell, for a deletion leaves no item behind that would carry one.
+    ``document`` is the configuration as stored, empty before the first one.
+    ``domains_out`` are the failure domains that are taken out. Two snapshots with the
+    same ``digest`` are equal. Revisions can't show this, since a deletion leaves no
+    item behind that would have a revision.
     """
 
     revision: int
@@ -268,7 +280,7 @@
     def of(
         cls, revision: int, document: bytes, domains_out: frozenset[str]
     ) -> "OperatorView":
-        """Return a view with its digest."""
+        """Return a snapshot with its digest computed."""
         hashed = blake2b(document, digest_size=8)
         for domain in sorted(domains_out):
             hashed.update(b"\0" + domain.encode())
--- a/cranberrywick/routing/queue_order.py
+++ b/cranberrywick/routing/queue_order.py
@@ -1,9 +1,10 @@
-"""In which order waiting requests are looked at.
+"""Order in which waiting requests are placed.
 
-Load pattern: more requests than places, of several ranks and with unlike targets.
-First come, first served lets one long wait make every later request late. Here rank
-goes first, then who can still be on time, then who is due first. A request that can
-only be late waits behind all of its rank that can still be on time.
+Load pattern: more requests than slots, of several priorities and with different
+targets. In first-come, first-served order one long wait makes every later request late.
+Here requests are ordered by priority, then by whether they can still be on time, then
+by due time. A request that is already late waits behind all requests of its priority
+that are not.
 """
 
 from typing import NamedTuple
@@ -12,7 +13,7 @@
 
 
 class OrderKey(NamedTuple):
-    """Sorts waiting requests; the smallest goes first."""
+    """Sort key of a waiting request; the smallest is placed first."""
 
     priority: int
     is_late: bool
@@ -20,5 +21,5 @@
 
 
 def order_key(priority: int, due_at: float, now: float) -> OrderKey:
-    """Return the place of a request whose answer should begin at ``due_at``."""
+    """Return the sort key of a request whose answer should begin by ``due_at``."""
     return OrderKey(priority, due_at < now, due_at)
