--- a/cranberrywick/routing/endpoint_index.py
+++ b/cranberrywick/routing/endpoint_index.py
@@ -1,9 +1,9 @@
-"""Endpoints by service and failure domain, for draws that don't depend on their number.
+"""Index of endpoints by service and failure domain, for sampling in constant time.
 
-Load pattern: thousands of endpoints and hundreds of requests a second. A request that
-walks all endpoints of its service costs more the larger the fleet grows; here a bounded
-random sample costs the same among eighty as among three thousand, and an endpoint that
-changes costs one replacement.
+Load pattern: thousands of endpoints and hundreds of requests a second. If each request
+iterated over all endpoints of its service, its cost would grow with the fleet; with
+this index a random sample of bounded size costs the same among eighty endpoints as
+among three thousand, and a change of an endpoint costs one replacement.
 """
 
 from collections.abc import Iterator, Sequence, Set
@@ -15,11 +15,11 @@
 
 
 class TrackedEndpoint(NamedTuple):
-    """An endpoint that may be used, and until when it is cold.
+    """A registered endpoint, and until when it is cold.
 
-    ``missing_since`` is set while its record has lapsed in an outage.
-    ``ready_until_known`` is the last moment at which an endpoint that is draining was
-    known not to be; minus infinity if that was never seen.
+    ``missing_since`` is set while its record is missing after an outage of the store.
+    ``ready_until_known`` is the last time at which an endpoint that is draining was
+    known not to be; minus infinity if it was never known to be ready.
     """
 
     record: EndpointRecord
@@ -34,11 +34,11 @@
 
 
 class EndpointPool(Sequence[TrackedEndpoint]):
-    """Endpoints that may be drawn from, in no particular order.
+    """A sequence of endpoints to sample from, in no particular order.
 
-    It shows the endpoints as they are when it is read, and copies nothing.
+    It is a view: it copies nothing and shows the endpoints as they are when it is read.
 
-    >>> pool = EndpointPool([{"e1": first}, {"e2": second}])
+    >>> pool = EndpointPool.of([first, second])
     >>> rng.sample(pool, 1)
     """
 
@@ -72,7 +72,7 @@
             yield from group
 
     def get(self, endpoint_id: str) -> TrackedEndpoint | None:
-        """Return an endpoint of the pool by id."""
+        """Return an endpoint of the pool by id, or None."""
         for group in self._groups:
             tracked = group.get(endpoint_id)
             if tracked is not None:
@@ -95,14 +95,14 @@
         self._groups_by_service: dict[str, dict[_GroupKey, _Group]] = {}
 
     def put(self, tracked: TrackedEndpoint, before: TrackedEndpoint | None) -> None:
-        """Add an endpoint, or replace what was believed of it."""
+        """Add an endpoint, or replace its earlier state ``before``."""
         if before is not None and _key(before) != _key(tracked):
             self.remove(before)
         groups = self._groups_by_service.setdefault(tracked.record.service, {})
         groups.setdefault(_key(tracked), _Group()).put(tracked)
 
     def remove(self, tracked: TrackedEndpoint) -> None:
-        """Drop an endpoint."""
+        """Remove an endpoint."""
         self._groups_by_service[tracked.record.service][_key(tracked)].remove(tracked)
 
     def ready(self, service: str, domains_out: Set[str]) -> EndpointPool:
@@ -135,7 +135,11 @@
 
 
 class _Group:
-    """Endpoints by id that can also be read by position."""
+    """Endpoints by id that can also be read by position, for random sampling.
+
+    Removal moves the last endpoint to the free position, so that it takes constant
+    time.
+    """
 
     def __init__(self) -> None:
         self._tracked_endpoints: list[TrackedEndpoint] = []
--- a/cranberrywick/routing/registry.py
+++ b/cranberrywick/routing/registry.py
@@ -1,8 +1,9 @@
-"""What this daemon believes of the registered endpoints.
+"""The registered endpoints that this daemon tracks, from snapshots of the store.
 
-Load pattern: the store goes away for seconds while traffic goes on, and endpoints
-that live lose their records meanwhile. Without the grace below, the first reading
-after its return shows half of the fleet missing, and all traffic falls on the rest.
+Load pattern: the store is unavailable for seconds while traffic continues, and
+endpoints that are alive lose their records meanwhile, since these expire. Without the
+grace period below the is_first snapshot after the outage shows half of the endpoints
+missing, and all traffic goes to the rest.
 """
 
 from typing import NamedTuple
@@ -12,26 +13,27 @@
 
 __all__ = ["EndpointChange", "EndpointRegistry", "TrackedEndpoint"]
 
-# The longest pause between two readings in which no record can have lapsed: a
-# reader takes over well before it, so a longer one is an outage of the store.
+# A longer interval than this between two snapshots, in seconds, is an outage of the
+# store, in which records of endpoints that are alive may have expired. Another reader
+# takes over well before it, so that the interval is shorter while the store answers.
 OUTAGE_SECONDS = 2.0
-# Endpoints that live are back in the store this long after its return, as the
-# platform promises; what is missing then is gone.
+# Grace period after an outage, in seconds. The platform guarantees that endpoints which
+# are alive have registered again by its end; those still missing then are gone.
 RETURN_GRACE_SECONDS = 2.0
 
 
 class EndpointChange(NamedTuple):
-    """One change of belief, for the log."""
+    """One change of a tracked endpoint, for the log."""
 
     endpoint_id: str
     what: str
 
 
 class EndpointRegistry:
-    """Merges readings of the store into one belief; older ones change nothing.
+    """Tracks endpoints by applying snapshots of the store; ignores outdated ones.
 
-    Beliefs are changed in place, so that a reading costs what it changes and not
-    what is registered.
+    Tracked endpoints are changed in place, so that the cost of a snapshot depends on
+    the number of changes and not on that of registered endpoints.
     """
 
     def __init__(self) -> None:
@@ -45,36 +47,39 @@
         self._grace_until = float("-inf")
 
     def age(self, now: float) -> float:
-        """Return how long ago the belief was true in the store, in seconds."""
+        """Return the age of the newest snapshot, in seconds."""
         return now - self.read_at
 
     def apply(
         self, view: EndpointView, read_at: float, now: float
     ) -> list[EndpointChange]:
-        """Take a reading made at ``read_at`` and return what it changed."""
+        """Apply a snapshot that was read at ``read_at``; return the changes."""
         return self.apply_delta(view, view.delta_from(self._view), read_at, now)
 
     def apply_delta(
         self, view: EndpointView, delta: EndpointDelta, read_at: float, now: float
     ) -> list[EndpointChange]:
-        """Take a reading that differs from the last one taken by ``delta``."""
+        """Apply a snapshot that differs from the last one by ``delta``.
+
+        Return the changes: none for a snapshot that is older than the last one.
+        """
         if view.revision < self.revision or read_at <= self.read_at:
             return []
-        first = self.revision == 0
+        is_first = self.revision == 0
         known_until, self.read_at = self.read_at, read_at
-        if not first and read_at - known_until > OUTAGE_SECONDS:
+        if not is_first and read_at - known_until > OUTAGE_SECONDS:
             self._grace_until = now + RETURN_GRACE_SECONDS
         self.revision, self._view = view.revision, view
         changes: list[EndpointChange] = []
         for record in delta.changed:
-            self._take(record, known_until, changes)
+            self._apply_record(record, known_until, changes)
         for endpoint_id in delta.gone_ids:
-            self._miss(endpoint_id, now, changes)
+            self._record_missing(endpoint_id, now, changes)
         self._extend_cold()
-        self._drop_missing(now, changes)
+        self._evict_missing(now, changes)
         return changes
 
-    def _take(
+    def _apply_record(
         self, record: EndpointRecord, known_until: float, changes: list[EndpointChange]
     ) -> None:
         endpoint_id = record.endpoint_id
@@ -107,31 +112,32 @@
         self.tracked_by_id[tracked.endpoint_id] = tracked
         self.index.put(tracked, before)
 
-    def _miss(
+    def _record_missing(
         self, endpoint_id: str, now: float, changes: list[EndpointChange]
     ) -> None:
-        """Note that an endpoint's record is no longer there."""
+        """Record that an endpoint's record is missing from the snapshot."""
         old = self.tracked_by_id.get(endpoint_id)
         if old is None or endpoint_id in self._missing_ids:
             return
-        # A record that says "draining" and is then missing has left: an outage is no
-        # reason to keep that one.
+        # An endpoint that was draining before its record disappeared has left, and is
+        # not kept even after an outage.
         if now < self._grace_until and not old.record.draining:
             self._replace(old._replace(missing_since=now), old)
             changes.append(EndpointChange(endpoint_id, "lapsed"))
         self._missing_ids.add(endpoint_id)
 
     def _extend_cold(self) -> None:
-        """Count the cold time that records tell of from their last reading.
+        """Set the end of the cold time of each cold endpoint, from the last reading.
 
-        Daemons are not told when a cold endpoint only says a new number of seconds.
+        This includes unchanged records: peers send no update when only the number of
+        cold seconds of an endpoint differs.
         """
         for endpoint_id in self._cold_ids:
             old = self.tracked_by_id[endpoint_id]
             cold_until = self.read_at + old.record.cold_seconds
             self._replace(old._replace(cold_until=cold_until), old)
 
-    def _drop_missing(self, now: float, changes: list[EndpointChange]) -> None:
+    def _evict_missing(self, now: float, changes: list[EndpointChange]) -> None:
         for endpoint_id in list(self._missing_ids):
             old = self.tracked_by_id[endpoint_id]
             if now < self._grace_until and old.missing_since is not None:
--- a/cranberrywick/routing/usable.py
+++ b/cranberrywick/routing/usable.py
@@ -1,13 +1,14 @@
-"""Which endpoints may get new work, and which as a last resort.
+"""Rules for which endpoints may get new work, and which only as a last resort.
 
 Load pattern: endpoints leave and failure domains are taken out while requests wait for
-a place or a connection. Asked only when a request comes, one that waits is sent seconds
-after an endpoint's last moment for new work; so this is asked for each place, and once
-more right before the send.
-
-A service may lose its last endpoint in this way while that still serves: one that
-drains, or whose failure domain was taken out, may be sent to for some seconds more.
-Only then, and only until a moment that is certainly within the bound, it is used.
+a slot or a connection. If the rules were checked only on a request's arrival, a request
+that waits would be sent seconds after the endpoint's deadline for new work. They are
+therefore checked at each placement, and again immediately before the send.
+
+A service may lose its last usable endpoint in this way while that endpoint still
+serves: one that is draining, or whose failure domain was taken out, may get new work
+for some seconds more. It is used only if no other endpoint is left, and only until a
+time that is certainly before its deadline.
 """
 
 from collections.abc import Mapping, Set
@@ -21,18 +22,20 @@
 
 __all__ = ["Restrictions", "is_usable", "last_resort", "usable_until"]
 
-# Kept back from a bound for the way of a request to the endpoint, and for that of the
-# peer's message which said how old its reading is.
+# Margin before a deadline for new work, in seconds: for the transfer of a request to
+# the endpoint and for that of the peer's message that stated the age of its snapshot.
 SEND_MARGIN_SECONDS = 0.8
 
 
 class Restrictions(NamedTuple):
-    """What keeps endpoints from new work, and for how long not yet.
+    """What excludes endpoints from new work, and how long they may still get some.
 
     ``out_since_by_domain`` has the failure domains that operators have taken out, each
-    with the earliest moment at which that can have been. The store acknowledges a
-    change before anybody reads it, so this is the last reading without it; minus
-    infinity where there was none.
+    with the earliest time at which that may have happened. The store acknowledges a
+    change before any daemon reads it, so this is the time of the last snapshot without
+    it; minus infinity if there was none. ``drain_seconds`` and ``evacuate_seconds``
+    are for how long after that a draining endpoint and one in such a domain may get new
+    work.
     """
 
     out_since_by_domain: Mapping[str, float]
@@ -43,15 +46,15 @@
 def is_usable(tracked: TrackedEndpoint, domains_out: Set[str]) -> bool:
     """Whether an endpoint may get new work.
 
-    `EndpointIndex.ready` draws the same line: neither one that is leaving nor one in
-    a failure domain that operators have taken out may.
+    It may unless it is draining or in a failure domain that operators have taken out.
+    `EndpointIndex.ready` applies the same rule.
     """
     record = tracked.record
     return not record.draining and record.failure_domain not in domains_out
 
 
 def usable_until(tracked: TrackedEndpoint, restrictions: Restrictions) -> float:
-    """Return until when an endpoint may be sent to; infinity if it is usable."""
+    """Return the time until which an endpoint may get requests; infinity if usable."""
     record = tracked.record
     until = float("inf")
     if record.draining:
@@ -65,7 +68,7 @@
 def last_resort(
     index: EndpointIndex, service: str, restrictions: Restrictions, now: float
 ) -> EndpointPool:
-    """Return the endpoints that a service may use while it has no other."""
+    """Return the endpoints that a service may use now if it has no usable one."""
     others = index.others(service, restrictions.out_since_by_domain.keys())
     return EndpointPool.of(
         [tracked for tracked in others if now < usable_until(tracked, restrictions)]
