--- a/cranberrywick/routing/relays.py
+++ b/cranberrywick/routing/relays.py
@@ -1,15 +1,17 @@
-"""Through whom the daemons of a large fleet tell one another what they do.
+"""Choice of the relays through which the daemons of a large fleet send updates.
 
-Load pattern: every daemon has to know within moments what all others have sent where,
-and which of them live. Told by everyone to everyone, the datagrams grow with the square
-of the fleet, and each daemon added makes all others hear more. Here a large fleet has a
-relay in each failure domain. A daemon tells its own domain's relay; that collects what
-comes within some milliseconds and passes it on, to its domain and to the other domains'
-relays, who do the same. A daemon then hears one datagram for each of these intervals,
-however many daemons there are, and what is told crosses a domain's border once.
+Load pattern: every daemon needs the jobs of all others, and which of them are alive,
+within milliseconds. If each sent its updates to all others, the datagrams would grow
+with the square of the fleet, and every added daemon would make all others receive more.
+Here a large fleet has a relay in each failure domain. A daemon sends its updates to the
+relay of its own domain, which collects updates for some milliseconds and forwards them
+to the daemons of its domain and to the relays of the other domains, which forward them
+in the same way. A daemon then receives one datagram in each of these intervals, however
+many daemons there are, and an update crosses the border between two domains once.
 
-Nobody is appointed: each daemon takes the first by id that it hears, and whoever is
-asked to pass something on does so. Two daemons that disagree lose nothing by it.
+There is no election: each daemon chooses the first daemon of the domain by id that is
+not silent, and any daemon that receives updates to forward does so. If two daemons
+choose different relays, no update is lost.
 
 >>> relays = Relays("d7", "fd-a")
 >>> relays.choose("fd-a", {"fd-a": ["d1", "d7", "d9"]}, now=0.0)
@@ -28,17 +30,20 @@
     "update_delay_seconds",
 ]
 
-# Up to so many daemons everyone tells everyone: one hop in place of two or three,
-# for no more than a few hundred datagrams a second in the whole fleet.
+# Largest number of daemons that send updates directly to one another. One hop replaces
+# two or three, at the cost of a few hundred datagrams a second in the whole fleet.
 MOST_DIRECT_MEMBERS = 16
-# A daemon tells of a new job after this: several of one moment make one datagram.
+# Delay before a daemon sends an update about a new job, in seconds, so that jobs placed
+# within it share one datagram.
 JOB_UPDATE_SECONDS = 0.01
-# How long a relay collects. The longer, the older news is where it arrives and the more
-# requests are placed without it; the shorter, the more datagrams everybody reads.
+# Interval over which a relay collects updates, in seconds. A longer one makes updates
+# older, so that more requests are placed without them; a shorter one makes every daemon
+# receive more datagrams.
 FLUSH_SECONDS = 0.05
-# A relay says at least so often that it lives.
+# Longest interval between a relay's datagrams, in seconds, also without any updates.
 KEEPALIVE_SECONDS = 0.3
-# Three of them lost in a row: what its domain tells is lost for no longer than this.
+# A relay is silent after this many seconds, in which three of its datagrams are
+# missing. Updates of a dead relay's domain are lost for no longer than this.
 SILENCE_SECONDS = 1.0
 
 
@@ -48,60 +53,64 @@
 
 
 def update_delay_seconds(members: int) -> float:
-    """Return how old the news of a job is when the others of a fleet hear it.
+    """Return the age of an update about a job on its arrival, in seconds.
 
-    Through two relays it waits half an interval at each, on average.
+    On its way through two relays it waits half a collecting interval at each, on
+    average.
     """
     return JOB_UPDATE_SECONDS + (FLUSH_SECONDS if needs_relays(members) else 0.0)
 
 
-class _Trial(NamedTuple):
-    """The relay chosen for a domain, and since when it is waited for."""
+class _ChosenRelay(NamedTuple):
+    """The relay chosen for a domain, and when it was chosen or last received from."""
 
     daemon_id: str
     since: float
 
 
 class Relays:
-    """Which daemon passes news on in each failure domain, as this daemon sees it.
+    """The relay of each failure domain, as this daemon chooses it.
 
-    A relay that is not heard for `SILENCE_SECONDS` after it was chosen is passed over
-    until it is heard again.
+    A relay that is silent for `SILENCE_SECONDS` is not chosen again until something is
+    received from it.
     """
 
     def __init__(self, daemon_id: str, failure_domain: str):
         self._daemon_id = daemon_id
         self._failure_domain = failure_domain
-        self._trials_by_domain: dict[str, _Trial] = {}
+        self._chosen_by_domain: dict[str, _ChosenRelay] = {}
         self._silent_ids: set[str] = set()
 
     def receive(self, daemon_id: str, domain: str, now: float) -> None:
-        """Note that a relay has passed something on to this daemon."""
+        """Record that a relay has forwarded something to this daemon."""
         self._silent_ids.discard(daemon_id)
-        trial = self._trials_by_domain.get(domain)
-        if trial is not None and trial.daemon_id == daemon_id:
-            self._trials_by_domain[domain] = _Trial(daemon_id, now)
+        chosen = self._chosen_by_domain.get(domain)
+        if chosen is not None and chosen.daemon_id == daemon_id:
+            self._chosen_by_domain[domain] = _ChosenRelay(daemon_id, now)
 
     def choose(self, domain: str, member_ids: Sequence[str], now: float) -> str | None:
-        """Return the relay of a domain among its members; it may be this daemon."""
+        """Return the relay of a domain among its members; it may be this daemon.
+
+        Return None for a domain without members.
+        """
         for daemon_id in sorted(member_ids):
             if daemon_id == self._daemon_id:
                 return daemon_id
             if daemon_id in self._silent_ids:
                 continue
-            trial = self._trials_by_domain.get(domain)
-            if trial is None or trial.daemon_id != daemon_id:
-                trial = self._trials_by_domain[domain] = _Trial(daemon_id, now)
-            if now - trial.since <= SILENCE_SECONDS:
+            chosen = self._chosen_by_domain.get(domain)
+            if chosen is None or chosen.daemon_id != daemon_id:
+                chosen = self._chosen_by_domain[domain] = _ChosenRelay(daemon_id, now)
+            if now - chosen.since <= SILENCE_SECONDS:
                 return daemon_id
             self._silent_ids.add(daemon_id)
-        # All of them silent: begin again, for one may have come back unheard.
+        # All of them are silent. Start over, since one may work again unnoticed.
         self._silent_ids.difference_update(member_ids)
-        self._trials_by_domain.pop(domain, None)
+        self._chosen_by_domain.pop(domain, None)
         return min(member_ids, default=None)
 
     def discount_pause(self, now: float) -> None:
-        """Wait for every relay anew, after a pause in this daemon's own run."""
+        """Restart all waits for relays after this daemon itself was paused."""
         self._silent_ids.clear()
-        for domain, trial in self._trials_by_domain.items():
-            self._trials_by_domain[domain] = trial._replace(since=now)
+        for domain, chosen in self._chosen_by_domain.items():
+            self._chosen_by_domain[domain] = chosen._replace(since=now)
--- a/cranberrywick/routing/retry_after.py
+++ b/cranberrywick/routing/retry_after.py
@@ -1,12 +1,13 @@
-"""When a caller that could not be served is told to come back.
+"""Retry-After times for callers that could not be served.
 
-Load pattern: a daemon starts, a service is left without endpoints, or the rate limits
-of its endpoints leave no room for all, while callers press, each with one retry left.
-Told to come back too soon, a caller spends its retry on the same refusal; too late, and
-its own time is over. Told all the same, callers come back in one moment.
+Load pattern: a daemon starts, a service has no endpoints left, or the rate limits of
+its endpoints leave no room for all requests, while many callers send them, each with
+one retry left. If a caller retries too early, its only retry gets the same refusal; if
+too late, its own timeout has passed. If all callers get the same time, they return at
+the same moment.
 
-How long a service stays without endpoints is not known. What has lasted long lasts
-longer: an outage of unknown length is expected to go on for as long as it has lasted.
+How long a service will have no endpoints is unknown. The estimate follows the rule that
+an outage of unknown length lasts on for as long as it has lasted already.
 """
 
 import random
@@ -18,22 +19,22 @@
     "ServiceOutages",
 ]
 
-# A daemon that has just started reads the store for the first time, which takes some
+# Retry time in seconds while a daemon starts: its first read of the store takes some
 # milliseconds.
 STARTING_SECONDS = 0.3
-# By then another reading of the store has come, and an endpoint that starts has
-# registered.
-LEAST_SECONDS = 1.0
-# Where the store answers nothing either, nobody can register.
+# Shortest retry time for a service without endpoints, in seconds. By then another
+# snapshot of the store has arrived, and an endpoint that is starting has registered.
+MIN_SECONDS = 1.0
+# The same while the store does not answer either, so that no endpoint can register.
 LEAST_SECONDS_WITHOUT_STORE = 2.0
-# No caller waits for longer than this.
-MOST_SECONDS = 10.0
-# By this share times vary around what is expected.
+# Longest retry time, in seconds: callers wait no longer than this.
+MAX_SECONDS = 10.0
+# Largest random deviation from the estimated time, as a share of it.
 SPREAD = 0.25
 
 
 class ServiceOutages:
-    """Remembers since when services are without an endpoint.
+    """Tracks since when services have been without an endpoint.
 
     >>> outages = ServiceOutages(random.Random())
     >>> outages.retry_seconds("notices", store_is_away=False, now=10.0)
@@ -45,19 +46,22 @@
         self._since_by_service: dict[str, float] = {}
 
     def ended(self, service: str) -> None:
-        """Note that a service has endpoints."""
+        """Record that a service has endpoints."""
         self._since_by_service.pop(service, None)
 
     def retry_seconds(self, service: str, store_is_away: bool, now: float) -> float:
-        """Return after how many seconds a service without endpoints may have one."""
+        """Return after how many seconds a caller of the service should retry.
+
+        The outage begins with the first call since `ended`.
+        """
         lasted = now - self._since_by_service.setdefault(service, now)
-        least = LEAST_SECONDS_WITHOUT_STORE if store_is_away else LEAST_SECONDS
-        expected = min(max(least, lasted), MOST_SECONDS)
+        least = LEAST_SECONDS_WITHOUT_STORE if store_is_away else MIN_SECONDS
+        expected = min(max(least, lasted), MAX_SECONDS)
         return expected * self._rng.uniform(1 - SPREAD, 1 + SPREAD)
 
 
 class LimitedReturns:
-    """Lets callers come back one after the other, as fast as rate limits take them.
+    """Spaces out the retries of callers, at the rate that limits allow.
 
     >>> returns = LimitedReturns(random.Random())
     >>> returns.retry_seconds("notices", wait=1.0, pause=0.5, now=10.0)
@@ -68,17 +72,18 @@
 
     def __init__(self, rng: random.Random):
         self._rng = rng
-        self._next_by_service: dict[str, float] = {}
+        self._next_retry_at_by_service: dict[str, float] = {}
 
     def retry_seconds(
         self, service: str, wait: float, pause: float, now: float
     ) -> float:
-        """Return after how many seconds a caller should come back.
+        """Return after how many seconds a caller should retry.
 
-        ``wait`` is when the first endpoint has room again, ``pause`` the time between
-        two requests that the endpoints take from the callers of one daemon.
+        ``wait`` is the time in seconds until an endpoint accepts a request again,
+        ``pause`` the interval between two requests that the endpoints accept from the
+        callers of one daemon.
         """
-        at = max(now + wait, self._next_by_service.get(service, now))
-        at = min(at, now + MOST_SECONDS)
-        self._next_by_service[service] = at + pause
-        return (at - now) * self._rng.uniform(1 - SPREAD, 1 + SPREAD)
+        retry_at = max(now + wait, self._next_retry_at_by_service.get(service, now))
+        retry_at = min(retry_at, now + MAX_SECONDS)
+        self._next_retry_at_by_service[service] = retry_at + pause
+        return (retry_at - now) * self._rng.uniform(1 - SPREAD, 1 + SPREAD)
