--- a/cranberrywick/routing/slowdown.py
+++ b/cranberrywick/routing/slowdown.py
@@ -1,11 +1,11 @@
-"""Which endpoints are slower than they should be.
-
-Load pattern: an endpoint turns several times slower for some seconds, while its record
-and its health say nothing of it. Taken for as fast as the others it looks idle, so that
-it gets its share of all requests and makes each of them late. An engine shows it by the
-streams that it writes: between events lies one pass, whose length at least is declared.
-A plain endpoint shows it by calls that take longer than their whole target. What a
-daemon sees there it tells the others, each of which has requests at few endpoints only.
+"""Detection of endpoints that are slower than declared.
+
+Load pattern: an endpoint becomes several times slower for some seconds, which neither
+its record nor its health shows. If it were treated as fast as the others, it would look
+idle, get its share of all requests and make each of them late. An engine's streams show
+the slowdown: the time between two events is one pass, whose minimum is declared. At a
+plain endpoint it shows in calls that take longer than their whole target. Each daemon
+sends its observations to the others, since each has requests at few endpoints only.
 """
 
 from collections import deque
@@ -14,16 +14,19 @@
 
 __all__ = ["EngineSlowdown", "EngineSlowdowns", "StreamPauses", "call_slowdown"]
 
-# Pauses in a row that must all be too long: one or two can be a prompt being read.
-PAUSES = 3
-# From so many times the declared pass on, an engine counts as slow: full of answers
-# with long contexts, it takes some 1.3 times as long.
+# Number of pauses in a row that must all be too long: one or two may be caused by the
+# prefill of a prompt.
+MIN_PAUSES = 3
+# An engine counts as slow from this many times the declared pass on. One that is full
+# of answers with long contexts takes about 1.3 times as long and is not slow.
 SLOW_FACTOR = 2.0
-# For how long an observation is told, and keeps short prompts away. Streams that go on
-# renew it; after them short prompts try a slow engine again.
+# For how many seconds an observation is sent to others and makes short prompts avoid
+# the engine. Streams that continue renew it; without any, short prompts try the engine
+# again.
 HOLD_SECONDS = 2.0
-# For how long it keeps long prompts away, unless the engine was seen to be fast since:
-# a long prompt that tries it costs some ten times what a short one does.
+# For how many seconds it makes long prompts avoid the engine, unless the engine was
+# observed to be fast since. A long prompt that tries a slow engine costs about ten
+# times as much as a short one.
 LONG_HOLD_SECONDS = 15.0
 
 
@@ -35,7 +38,9 @@
 
 
 class StreamPauses:
-    """The last pauses of one stream; ``pass_seconds`` is the least that is declared.
+    """The last pauses of one stream.
+
+    ``pass_seconds`` is the shortest pass that the engine's profile declares.
 
     >>> pauses = StreamPauses(0.05)
     >>> [pauses.record(0.25) for _ in range(3)]
@@ -44,20 +49,21 @@
 
     def __init__(self, pass_seconds: float):
         self._pass_seconds = pass_seconds
-        self._pauses: deque[float] = deque(maxlen=PAUSES)
+        self._pauses: deque[float] = deque(maxlen=MIN_PAUSES)
 
     def record(self, seconds: float) -> float | None:
-        """Note a pause; return the pace by now, None while too few are known."""
+        """Record a pause in seconds; return the slowdown, None after too few pauses."""
         self._pauses.append(seconds)
-        if len(self._pauses) < PAUSES or self._pass_seconds <= 0:
+        if len(self._pauses) < MIN_PAUSES or self._pass_seconds <= 0:
             return None
         return max(1.0, min(self._pauses) / self._pass_seconds)
 
 
 def call_slowdown(seconds: float, target_seconds: float) -> float:
-    """Return how many times as long as it should a plain call took.
+    """Return the slowdown of an endpoint that a plain call shows.
 
-    Up to its target it says nothing: calls differ. Beyond it, the endpoint is slow.
+    It is 1 for a call within its target, since calls differ in length. For a longer one
+    it is at least SLOW_FACTOR, so that the endpoint counts as slow.
 
     >>> call_slowdown(0.06, 0.3), call_slowdown(0.6, 0.3)
     (1.0, 4.0)
@@ -71,46 +77,51 @@
 
 
 class EngineSlowdowns:
-    """The last paces of engines that were slow, as seen here and by peers."""
+    """The last slowdowns of endpoints that were slow, observed here and by peers."""
 
     def __init__(self) -> None:
-        self._own: dict[str, _Observation] = {}
-        self._heard: dict[str, _Observation] = {}
+        self._own_by_id: dict[str, _Observation] = {}
+        self._received_by_id: dict[str, _Observation] = {}
 
     def observe(self, endpoint_id: str, slowdown: float, now: float) -> bool:
-        """Note what a stream shows; True if it changes what is believed."""
+        """Record an observation; return whether the endpoint turned slow or fast."""
         was_slow = self.slowdown(endpoint_id, now, is_long=True) >= SLOW_FACTOR
         is_slow = slowdown >= SLOW_FACTOR
         if is_slow or was_slow:
-            self._own[endpoint_id] = _Observation(slowdown if is_slow else 1.0, now)
+            self._own_by_id[endpoint_id] = _Observation(
+                slowdown if is_slow else 1.0, now
+            )
         return is_slow != was_slow
 
     def receive(self, slowdowns: Iterable[EngineSlowdown], seen_at: float) -> None:
-        """Take what a peer has seen."""
+        """Record a peer's observations, unless newer ones are known."""
         for endpoint_id, slowdown in slowdowns:
-            known = self._heard.get(endpoint_id)
+            known = self._received_by_id.get(endpoint_id)
             if known is None or known.seen_at < seen_at:
-                self._heard[endpoint_id] = _Observation(slowdown, seen_at)
+                self._received_by_id[endpoint_id] = _Observation(slowdown, seen_at)
 
     def slowdown(self, endpoint_id: str, now: float, is_long: bool) -> float:
-        """Return how many times as long as declared an engine takes; 1 by default.
+        """Return how many times as long as declared an endpoint takes; 1 by default.
 
-        ``is_long`` says whether it is asked for a long prompt, which trusts a slow
-        engine later than a short one.
+        ``is_long`` says that the request is a long prompt, for which an observation
+        holds longer.
         """
-        seen = (self._own.get(endpoint_id), self._heard.get(endpoint_id))
+        seen = (self._own_by_id.get(endpoint_id), self._received_by_id.get(endpoint_id))
         last = max(filter(None, seen), key=lambda s: s.seen_at, default=None)
         hold = LONG_HOLD_SECONDS if is_long else HOLD_SECONDS
         return last.slowdown if last and now - last.seen_at <= hold else 1.0
 
     def own(self, now: float) -> list[EngineSlowdown]:
-        """Return what this daemon has seen lately itself, to be told to the others."""
-        for slowdowns in (self._own, self._heard):
+        """Return this daemon's own recent observations, which it sends to the others.
+
+        Expired observations are removed.
+        """
+        for slowdowns in (self._own_by_id, self._received_by_id):
             for endpoint_id, seen in list(slowdowns.items()):
                 if now - seen.seen_at > LONG_HOLD_SECONDS:
                     del slowdowns[endpoint_id]
         return [
             EngineSlowdown(endpoint_id, seen.slowdown)
-            for endpoint_id, seen in self._own.items()
+            for endpoint_id, seen in self._own_by_id.items()
             if now - seen.seen_at <= HOLD_SECONDS
         ]
--- a/cranberrywick/routing/table.py
+++ b/cranberrywick/routing/table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and who its key belongs to."""
+"""Look-up of a request's route and of the organisation that its key belongs to."""
 
 import random
 from collections.abc import Iterable
@@ -26,8 +26,8 @@
     def match(self, host: str, path: str) -> Route:
         """Return the route with the longest prefix; raises `NotFound`.
 
-        ``path`` is as the caller wrote it, without a query. Prefixes end with a
-        slash, so only the places of slashes are looked up: the cost does not grow
+        ``path`` is as the caller sent it, without a query. Prefixes end with a slash,
+        so that one look-up for each slash in the path is enough: the cost does not grow
         with the number of routes.
         """
         by_prefix = self._routes_by_prefix_by_host.get(_host_name(host), {})
@@ -40,7 +40,10 @@
         raise NotFound("no route for this host and path")
 
     def identify(self, route: Route, key: str | None) -> Organisation | None:
-        """Return who sends the request; raises `Unauthorised`."""
+        """Return the organisation that sends the request; raises `Unauthorised`.
+
+        Return None if keys are not checked, or for an unknown key on a public route.
+        """
         by_key = self.configuration.organisations_by_key
         if by_key is None:
             return None
@@ -50,7 +53,7 @@
         return organisation
 
     def priority(self, route: Route, organisation: Organisation | None) -> int:
-        """Return the rank of a request; 0 comes first."""
+        """Return the priority of a request; 0 is the highest."""
         if organisation is not None and organisation.priority is not None:
             return organisation.priority
         return route.priority
@@ -64,7 +67,7 @@
 def pick_service(
     weights: Iterable[tuple[str, float]], rng: random.Random
 ) -> str | None:
-    """Return one service, each as often as its weight says; None without any."""
+    """Return a service, chosen at random by weight; None if all weights are zero."""
     choices = [(name, weight) for name, weight in weights if weight > 0]
     if not choices:
         return None
