--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -1,14 +1,14 @@
-"""Daemons before endpoints with rate limits, on a network without sockets.
+"""Simulated daemons that send to endpoints with rate limits, without sockets.
 
-    async def scene(fleet):
+    async def scenario(fleet):
         fleet.endpoints[0].rate = 1.0
         await asyncio.sleep(10.0)
         fleet.check_limits()
 
-    play(9, scene)
+    run_scenario(9, scenario)
 
-The daemons' news, permits and beliefs are the real ones; callers, endpoints and the
-network are stand-ins, and time is virtual.
+The daemons' updates, permits and state are the real implementation; callers, endpoints
+and the network are simulated, and time is virtual.
 """
 
 import asyncio
@@ -21,9 +21,9 @@
 from cranberrywick.logs import EventLog
 
 DOMAINS = ("fd-a", "fd-b", "fd-c")
-# The span over which requests to an endpoint are summed up.
+# Length of the window in which requests to an endpoint are counted.
 WINDOW_SECONDS = 4.0
-# The limit binds from so long after an endpoint first named its limit.
+# A limit applies from this many seconds after the endpoint first stated it.
 CONTACT_SECONDS = 3.0
 ANSWER_SECONDS = 0.02
 LONGEST_WAIT_SECONDS = 1.0
@@ -31,51 +31,52 @@
 
 
 class Endpoint:
-    """Names its ``rate`` in every answer, in requests a second; None for no limit."""
+    """States its ``rate`` in every answer, in requests a second; None for no limit."""
 
     def __init__(self, endpoint_id: str):
         self.endpoint_id = endpoint_id
         self.rate: float | None = None
-        self.named_at: float | None = None
+        self.stated_at: float | None = None
         self.arrived_at: list[float] = []
 
     def answer(self, now: float) -> float:
-        """Answer a request and return the limit that the answer names."""
+        """Answer a request and return the limit that the answer states."""
         if self.rate is None:
             return float("inf")
-        if self.named_at is None:
-            self.named_at = now
+        if self.stated_at is None:
+            self.stated_at = now
         return self.rate
 
     def limit(self, rate: float | None) -> None:
-        """Name another limit from now on."""
+        """State another limit from now on."""
         self.rate = rate
-        self.named_at = None
+        self.stated_at = None
         self.arrived_at.clear()
 
-    def worst_window(self) -> int:
-        """Return the most requests in a window, whether their daemons were told or not.
+    def largest_window_count(self) -> int:
+        """Return the largest number of requests in a window while the limit applies.
 
-        That is more than the rule counts.
+        Requests of daemons that don't know of the limit are counted too, which makes
+        this stricter than the rule.
         """
-        if self.named_at is None:
+        if self.stated_at is None:
             return 0
-        binding_at = self.named_at + CONTACT_SECONDS
-        times = [at for at in self.arrived_at if at >= binding_at]
+        applies_from = self.stated_at + CONTACT_SECONDS
+        times = [at for at in self.arrived_at if at >= applies_from]
         return max(
             (sum(first <= at < first + WINDOW_SECONDS for at in times))
             for first in times or [0.0]
         )
 
     def used_share(self, now: float) -> float:
-        """Return how much of what the limit allows has been sent since it binds."""
-        seconds = now - self.named_at - CONTACT_SECONDS
+        """Return the share of the allowed requests sent since the limit applies."""
+        seconds = now - self.stated_at - CONTACT_SECONDS
         times = [at for at in self.arrived_at if at >= now - seconds]
         return len(times) / (self.rate * seconds)
 
 
 class Network(SimulatedNetwork):
-    """Also holds back what frozen daemons send and are sent."""
+    """Also queues the datagrams from and to frozen daemons."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -83,14 +84,14 @@
         self._held: list[tuple[str, str, bytes]] = []
 
     def carry(self, source: str, address: str, data: bytes) -> None:
-        """Take a datagram to its receiver, later if one of them is frozen."""
+        """Deliver a datagram; later if its sender or its receiver is frozen."""
         if {source, address} & self.frozen:
             self._held.append((source, address, data))
         else:
             super().carry(source, address, data)
 
     def thaw(self, address: str) -> None:
-        """Let a daemon go on, with all that has come for it meanwhile."""
+        """Resume a frozen daemon and deliver the datagrams queued meanwhile."""
         self.frozen.discard(address)
         held, self._held = self._held, []
         for datagram in held:
@@ -115,12 +116,12 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self) -> None:
-        """Start all daemons and let them meet."""
+        """Start all daemons and wait until they know one another."""
         for number in range(self._size):
-            self.daemons.append(await self._new(number))
+            self.daemons.append(await self._start_daemon(number))
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _new(self, number: int) -> SimulatedDaemon:
+    async def _start_daemon(self, number: int) -> SimulatedDaemon:
         daemon = SimulatedDaemon(self.network, f"d{number:03}", DOMAINS[number % 3])
         self._daemons_by_name[daemon.name] = daemon
         ticker = self._tickers_by_name[daemon.name] = Ticker(EventLog())
@@ -132,37 +133,37 @@
         return daemon
 
     def stop(self) -> None:
-        """End all daemons and callers."""
+        """Stop all daemons and callers."""
         for ticker in self._tickers_by_name.values():
             ticker.stop()
         for task in self._tasks:
             task.cancel()
 
     def kill(self, daemon: SimulatedDaemon) -> None:
-        """End a daemon; what is sent to it is lost."""
+        """Kill a daemon; datagrams to it are lost."""
         self._tickers_by_name.pop(daemon.name).stop()
         daemon.network = Network()
         self.daemons.remove(daemon)
         self.network.daemons_by_address.pop(daemon.address, None)
 
     async def restart(self, daemon: SimulatedDaemon) -> None:
-        """Start a daemon again that was killed; it knows nothing."""
-        self.daemons.append(await self._new(int(daemon.name[1:])))
+        """Start a killed daemon again, without its earlier state."""
+        self.daemons.append(await self._start_daemon(int(daemon.name[1:])))
 
-    def press(self, rate: float) -> None:
-        """Let callers send so many requests a second to each endpoint from now on."""
+    def start_callers(self, rate: float) -> None:
+        """Start callers that send ``rate`` requests a second to each endpoint."""
         for endpoint in self.endpoints:
-            self._start(self._call_again_and_again(endpoint, rate))
+            self._start(self._call_repeatedly(endpoint, rate))
 
-    def calm(self) -> None:
-        """Let all callers go."""
+    def stop_callers(self) -> None:
+        """Stop all callers."""
         for task in self._tasks:
             task.cancel()
 
     def steward(self, endpoint: Endpoint) -> SimulatedDaemon:
-        """Return who gives an endpoint's permits in one daemon's view.
+        """Return the steward of an endpoint as the first daemon knows it.
 
-        It may have been killed a moment ago.
+        It may have been killed just before.
         """
         daemon = self.daemons[0]
         beat = daemon.peer_updates.limits.steward(
@@ -176,7 +177,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _call_again_and_again(self, endpoint: Endpoint, rate: float) -> None:
+    async def _call_repeatedly(self, endpoint: Endpoint, rate: float) -> None:
         while True:
             await asyncio.sleep(self.rng.expovariate(rate))
             self._start(self._call(self.rng.choice(self.daemons), endpoint))
@@ -206,17 +207,19 @@
         for endpoint in self.endpoints:
             if endpoint.rate is not None:
                 allowed = 1.5 * endpoint.rate * WINDOW_SECONDS + 5
-                assert endpoint.worst_window() <= allowed
+                assert endpoint.largest_window_count() <= allowed
 
 
-def play(size: int, scene: Callable[[LimitedFleet], Coroutine], seed: int = 1) -> None:
-    """Start a fleet, play a scene with it and check the limits at its end."""
+def run_scenario(
+    size: int, scenario: Callable[[LimitedFleet], Coroutine], seed: int = 1
+) -> None:
+    """Start a fleet, run a scenario with it and check the limits at its end."""
 
     async def main() -> None:
         fleet = LimitedFleet(size, seed)
         try:
             await fleet.start()
-            await scene(fleet)
+            await scenario(fleet)
             fleet.check_limits()
         finally:
             fleet.stop()
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of endpoints, kept by fleets of daemons that fail."""
+"""Rate limits of endpoints hold for the whole fleet while daemons fail."""
 
 import asyncio
 from math import inf
@@ -7,17 +7,17 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
-from limited_fleet import DOMAINS, LimitedFleet, play
+from limited_fleet import DOMAINS, LimitedFleet, run_scenario
 
 from cranberrywick.bench.virtual_time import stand_still, virtual_loop
 
-# Three times what the endpoints take.
+# Callers send three times as many requests as the endpoints accept.
 OVERLOAD = 3.0
 
 
-async def limit(fleet, rate, press=None):
-    """Let every endpoint name a limit, and callers want more than that."""
-    fleet.press(press or OVERLOAD * rate)
+async def limit(fleet, rate, call_rate=None):
+    """Set a limit at every endpoint, while callers send more than it allows."""
+    fleet.start_callers(call_rate or OVERLOAD * rate)
     await asyncio.sleep(1.0)
     for endpoint in fleet.endpoints:
         endpoint.limit(rate)
@@ -33,33 +33,33 @@
     [(9, 0.25), (9, 1.0), (9, 20.0), (67, 1.0), (67, 10.0), (195, 1.0)],
 )
 def test_a_limit_holds_for_the_sum_of_all_daemons(size, rate):
-    """Guards against limits that are exceeded the more daemons there are."""
+    """Guards against limits that are exceeded the more, the larger the fleet is."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, rate)
         await asyncio.sleep(12.0 if size < 100 else 8.0)
         fleet.check_limits()
         assert_used(fleet, 0.8)
         assert fleet.longest_refusal < 0.1
 
-    play(size, scene)
+    run_scenario(size, scenario)
 
 
-def test_what_fits_a_limit_is_served():
-    """Guards against refusals while the endpoints could take the requests."""
+def test_requests_within_a_limit_are_served():
+    """Guards against refusals while the endpoints could accept the requests."""
 
-    async def scene(fleet):
-        await limit(fleet, 10.0, press=6.0)
+    async def scenario(fleet):
+        await limit(fleet, 10.0, call_rate=6.0)
         await asyncio.sleep(20.0)
         assert fleet.refused <= 0.02 * fleet.sent
 
-    play(9, scene)
+    run_scenario(9, scenario)
 
 
-def test_a_steward_that_is_killed_is_followed_by_another():
-    """Guards against an endpoint that nobody may use after its steward died."""
+def test_a_killed_steward_is_replaced():
+    """Guards against an endpoint that no daemon may use after its steward died."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, 2.0)
         await asyncio.sleep(4.0)
         for endpoint in fleet.endpoints:
@@ -68,16 +68,16 @@
         before = [len(endpoint.arrived_at) for endpoint in fleet.endpoints]
         await asyncio.sleep(6.0)
         for endpoint, number in zip(fleet.endpoints, before, strict=True):
-            # A third of the fleet is silent and may live behind a cut.
+            # A third of the fleet is silent and may be alive behind a partition.
             assert len(endpoint.arrived_at) - number >= 0.5 * 2.0 * 6.0
 
-    play(9, scene)
+    run_scenario(9, scenario)
 
 
-def test_a_steward_that_stood_still_does_not_make_up_for_it():
-    """Guards against two stewards at once after one has woken."""
+def test_a_steward_does_not_make_up_for_a_freeze():
+    """Guards against two stewards at once after one resumes from a freeze."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, 5.0)
         await asyncio.sleep(4.0)
         for _ in range(3):
@@ -91,13 +91,13 @@
         await asyncio.sleep(4.0)
         fleet.check_limits()
 
-    play(9, scene)
+    run_scenario(9, scenario)
 
 
-def test_requests_that_waited_through_a_freeze_do_not_go_at_once():
-    """Guards against permits whose moments all passed while the daemon stood still."""
+def test_requests_that_waited_through_a_freeze_are_not_sent_at_once():
+    """Guards against a burst when the times of many permits pass during a freeze."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         loop = asyncio.get_running_loop()
         (daemon,) = fleet.daemons
         daemon.peer_updates.limits.observe("e0", 1.0, loop.time())
@@ -110,20 +110,20 @@
         calls = [asyncio.create_task(call()) for _ in range(6)]
         await asyncio.sleep(0.5)
         stand_still(6.0)
-        woken_at = loop.time()
+        resumed_at = loop.time()
         await asyncio.gather(*calls)
         assert len(granted_at) == 6
-        assert sum(woken_at <= at < woken_at + 1.0 for at in granted_at) <= 2
+        assert sum(resumed_at <= at < resumed_at + 1.0 for at in granted_at) <= 2
 
-    play(1, scene)
+    run_scenario(1, scenario)
 
 
 @pytest.mark.parametrize("parts", [2, 3])
 @pytest.mark.parametrize("rate", [1.0, 20.0])
 def test_parts_of_a_fleet_that_lose_each_other_keep_the_sum(parts, rate):
-    """Guards against each side of a cut giving all that the limit allows."""
+    """Guards against each side of a partition granting the whole limit."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, rate)
         await asyncio.sleep(4.0)
 
@@ -137,13 +137,13 @@
         fleet.network.is_cut = lambda source, target: False
         await asyncio.sleep(6.0)
 
-    play(9, scene)
+    run_scenario(9, scenario)
 
 
-def test_two_domains_that_reach_a_third_only_keep_the_sum():
-    """Guards against stewards that each see two thirds of the fleet."""
+def test_two_domains_that_reach_only_a_third_keep_the_sum():
+    """Guards against two stewards that each count two thirds of the fleet as alive."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, 10.0)
         await asyncio.sleep(4.0)
 
@@ -158,14 +158,14 @@
         fleet.check_limits()
         assert_used(fleet, 0.6)
 
-    play(9, scene)
+    run_scenario(9, scenario)
 
 
 @pytest.mark.parametrize("size", [9, 67])
 def test_restarts_in_series_keep_the_limit(size):
-    """Guards against a fresh account with every steward that takes over."""
+    """Guards against a full burst of permits from every steward that takes over."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, 5.0)
         await asyncio.sleep(3.0)
         for daemon in list(fleet.daemons)[:9]:
@@ -177,13 +177,13 @@
         fleet.check_limits()
         assert_used(fleet, 0.6)
 
-    play(size, scene)
+    run_scenario(size, scenario)
 
 
 def test_a_limit_that_falls_is_kept_at_once():
-    """Guards against permits of an earlier, higher rate that are still used."""
+    """Guards against permits that were granted at an earlier, higher rate."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, 20.0)
         await asyncio.sleep(6.0)
         for endpoint in fleet.endpoints:
@@ -192,16 +192,16 @@
         fleet.check_limits()
         assert_used(fleet, 0.8)
 
-    play(9, scene)
+    run_scenario(9, scenario)
 
 
 @pytest.mark.parametrize("size", [9, 67])
 @pytest.mark.parametrize("rate", [0.0, 1.0])
-def test_the_end_of_a_limit_reaches_everybody(size, rate):
-    """Guards against daemons that send nothing and so never hear of the end."""
+def test_the_end_of_a_limit_reaches_every_daemon(size, rate):
+    """Guards against a limit that stays in force at daemons which send no requests."""
 
-    async def scene(fleet):
-        await limit(fleet, rate, press=OVERLOAD)
+    async def scenario(fleet):
+        await limit(fleet, rate, call_rate=OVERLOAD)
         await asyncio.sleep(8.0)
         for endpoint in fleet.endpoints:
             endpoint.limit(None)
@@ -210,18 +210,18 @@
             limits = daemon.peer_updates.limits
             assert all(limits.rate(e.endpoint_id) == inf for e in fleet.endpoints)
 
-    play(size, scene)
+    run_scenario(size, scenario)
 
 
 @pytest.mark.parametrize("size", [9, 67])
-def test_a_daemon_that_starts_is_told_the_limits_in_force(size):
-    """Guards against a burst of whoever returns and has not been told yet."""
+def test_a_daemon_that_starts_receives_the_limits_in_force(size):
+    """Guards against a burst from a restarted daemon that doesn't know the limit."""
 
-    async def scene(fleet):
+    async def scenario(fleet):
         await limit(fleet, 1.0)
         await asyncio.sleep(6.0)
-        # From here on nobody asks for a permit, which would tell of the limit.
-        fleet.calm()
+        # From here on no daemon requests a permit; the answer would show the limit.
+        fleet.stop_callers()
         await asyncio.sleep(4.0)
         for number in range(9):
             daemon = next(d for d in fleet.daemons if d.name == f"d{number:03}")
@@ -232,14 +232,14 @@
             limits = fleet.daemons[-1].peer_updates.limits
             assert all(limits.rate(each.endpoint_id) == 1.0 for each in fleet.endpoints)
 
-    play(size, scene)
+    run_scenario(size, scenario)
 
 
 class LimitsMachine(RuleBasedStateMachine):
-    """Limits begin, change and end; daemons freeze, die, return and lose each other.
+    """Limits change while daemons freeze, die, restart and are partitioned.
 
-    Whatever happens, no endpoint gets more from all daemons together than its limit
-    allows, those that were not told included.
+    No endpoint gets more requests than its limit allows from all daemons together,
+    including those that don't know of the limit.
     """
 
     def __init__(self):
@@ -254,7 +254,7 @@
     async def start(self):
         self.fleet = LimitedFleet(9, seed=1)
         await self.fleet.start()
-        self.fleet.press(8.0)
+        self.fleet.start_callers(8.0)
 
     def teardown(self):
         self.run(asyncio.sleep(3.0))
@@ -264,7 +264,7 @@
         self.loop.close()
 
     @rule(number=st.integers(0, 2), rate=st.sampled_from([0.5, 1.0, 4.0]))
-    def name_limit(self, number, rate):
+    def set_limit(self, number, rate):
         self.fleet.endpoints[number].limit(rate)
 
     @rule(number=st.integers(0, 2))
