--- a/tests/test_connect_timeout.py
+++ b/tests/test_connect_timeout.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that don't answer are given up by what is usual."""
+"""The connect timeout follows the usual duration of connections."""
 
 import random
 
@@ -20,8 +20,8 @@
     return timeout
 
 
-def test_a_dark_endpoint_costs_a_fraction_of_a_short_target():
-    """Guards against requests that a dark endpoint alone makes late.
+def test_an_unreachable_endpoint_costs_a_fraction_of_a_short_target():
+    """Guards against requests that are late after trying one unreachable endpoint.
 
     A plain call takes 60 ms and its target is 300 ms.
     """
@@ -31,7 +31,7 @@
 
 
 def test_a_busy_vm_waits_longer():
-    """Guards against endpoints taken for dark because their caller is slow."""
+    """Guards against treating endpoints as unreachable because their caller is slow."""
     rng = random.Random(2)
     waits = [rng.uniform(0.01, 0.06) for _ in range(500)]
     timeout = ConnectTimeout()
@@ -43,13 +43,13 @@
 
 
 def test_a_daemon_that_was_held_up_blames_no_endpoint():
-    """Guards against sound endpoints in cooldown after a pause of their caller."""
+    """Guards against cooldowns of healthy endpoints after a pause of the daemon."""
     assert is_own_delay(0.2, allowed=0.05)
     assert not is_own_delay(0.052, allowed=0.05)
 
 
 def test_timeouts_in_a_row_wait_longer():
-    """Guards against a timeout that fails every connection and never learns."""
+    """Guards against a timeout that fails every connection and is never corrected."""
     timeout = after([0.004] * 20)
     waits = []
     for _ in range(4):
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -1,4 +1,4 @@
-"""The index of jobs by endpoint stays true however jobs come and go."""
+"""The index of jobs by endpoint stays correct as jobs are added and removed."""
 
 from collections import Counter
 
@@ -23,10 +23,10 @@
 
 
 class LoadMachine(RuleBasedStateMachine):
-    """Compares the index with all jobs that were told and not taken back.
+    """Compares the index with all jobs that were added and not removed.
 
-    Requests are placed, written and ended here while peers tell theirs, fall silent
-    and come back; a job that stayed behind would keep an engine from new work for good.
+    Requests start, change and end here while peers send their jobs, become silent and
+    return. A job left in the index would exclude an engine from new work for ever.
     """
 
     def __init__(self):
@@ -62,11 +62,11 @@
         }
 
     @invariant()
-    def index_is_true(self):
-        told = [*self.own.values(), *(jobs for _, jobs in self.peers.values())]
+    def index_is_correct(self):
+        known = [*self.own.values(), *(jobs for _, jobs in self.peers.values())]
         for endpoint_id in ENDPOINTS:
             expected = Counter(
-                job for jobs in told for job in jobs if job.endpoint_id == endpoint_id
+                job for jobs in known for job in jobs if job.endpoint_id == endpoint_id
             )
             assert Counter(self.load.at(endpoint_id)) == expected
 
--- a/tests/test_limited_choice.py
+++ b/tests/test_limited_choice.py
@@ -1,4 +1,4 @@
-"""Where requests go while endpoints have rate limits, and who is refused."""
+"""Placement and refusal of requests while endpoints have rate limits."""
 
 import random
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("wanted", [demand(), demand(PROMPTS, 5_000)])
-def test_one_that_takes_the_request_now_goes_first(wanted):
+def test_an_endpoint_without_a_wait_is_preferred(wanted):
     """Guards against waits for a permit while another endpoint is idle."""
     placement = place(wanted, {"e1": 0.4, "e2": 0.0, "e3": 0.2})
     assert placement.endpoint_id == "e2"
@@ -61,23 +61,23 @@
 
 
 @pytest.mark.parametrize("wanted", [demand(), demand(PROMPTS, 5_000)])
-def test_where_all_have_to_be_waited_for_the_soonest_is(wanted):
-    """Guards against a queue at one endpoint beside another that is free earlier."""
+def test_where_all_have_a_wait_the_shortest_is_chosen(wanted):
+    """Guards against a queue at one endpoint while another is free earlier."""
     placement = place(wanted, {"e1": 0.9, "e2": 0.3, "e3": 0.6})
     assert placement.endpoint_id == "e2"
     assert placement.longest_wait == 1.0
 
 
 def test_an_engine_at_its_limit_still_helps():
-    """Guards against long prompts that find no engines while all have limits."""
+    """Guards against long prompts that find no helpers while engines have limits."""
     waits = {f"e{number}": 2.0 for number in range(12)}
     placement = place(demand(PROMPTS, 150_000), waits | {"e5": 0.0})
     assert placement.endpoint_id == "e5"
     assert placement.helpers
 
 
-def test_what_no_endpoint_takes_in_time_is_refused_at_once():
-    """Guards against callers who wait in vain; they are told when there is room."""
+def test_a_request_that_no_endpoint_accepts_in_time_is_refused_at_once():
+    """Guards against callers that wait in vain; they get a time for their retry."""
     waits = {"e1": 3.0, "e2": 1.5}
     assert place(demand(), waits) is None
 
@@ -92,12 +92,14 @@
     assert seconds(demand(), waits | {"e3": 0.0}) is None
 
 
-def test_refused_callers_come_back_one_after_the_other():
-    """Guards against callers who come back in one moment and are refused again."""
+def test_refused_callers_retry_one_after_the_other():
+    """Guards against callers that retry at the same moment and are refused again."""
     returns = LimitedReturns(random.Random(1))
-    told = [returns.retry_seconds("notices", 1.0, 0.5, 10.0) for _ in range(9)]
-    assert 0.75 <= told[0] <= 1.25
-    assert 3.75 <= told[8] <= 6.25
-    # Once they are gone, the next waits no longer than the first of them.
+    retry_seconds_by_caller = [
+        returns.retry_seconds("notices", 1.0, 0.5, 10.0) for _ in range(9)
+    ]
+    assert 0.75 <= retry_seconds_by_caller[0] <= 1.25
+    assert 3.75 <= retry_seconds_by_caller[8] <= 6.25
+    # After their retries, the next caller waits no longer than the first of them.
     assert returns.retry_seconds("notices", 1.0, 0.5, 30.0) <= 1.25
     assert max(returns.retry_seconds("notices", 1.0, 9.0, 30.0) for _ in "1234") < 13
--- a/tests/test_member_list.py
+++ b/tests/test_member_list.py
@@ -1,4 +1,4 @@
-"""How often a fleet reads the list of its daemons."""
+"""Rate at which a fleet reads the list of its daemons."""
 
 import random
 
@@ -9,10 +9,10 @@
 
 @pytest.mark.parametrize("members", [50, 200, 620])
 def test_a_large_fleet_reads_the_list_about_once_a_second(members):
-    """Callers pay for the store through the fleet: its calls don't grow with it.
+    """Guards against calls to the store whose number grows with the fleet.
 
-    Each daemon is asked at its own moments whether it is its turn; over a minute the
-    reads of all of them stay about one a second.
+    Each daemon checks at its own times whether it is its turn; over a minute the reads
+    of all daemons stay at about one a second.
     """
     rng = random.Random(members)
     turns = int(60 / TURN_SECONDS)
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -1,29 +1,29 @@
-"""Callers of a service without endpoints are told when to come back."""
+"""Retry times for callers of a service without endpoints."""
 
 import random
 
 from cranberrywick.routing.retry_after import ServiceOutages
 
 
-def told(outages, seconds, count=1, store_is_away=False):
+def retry_seconds(outages, seconds, count=1, store_is_away=False):
     return [
         outages.retry_seconds("notices", store_is_away, seconds) for _ in range(count)
     ]
 
 
 def test_a_long_outage_is_expected_to_go_on():
-    """Guards against callers that come back into a second refusal."""
+    """Guards against callers whose retry is refused again."""
     outages = ServiceOutages(random.Random(1))
-    (first,) = told(outages, 10.0)
-    (later,) = told(outages, 14.0)
+    (first,) = retry_seconds(outages, 10.0)
+    (later,) = retry_seconds(outages, 14.0)
     assert first < 1.5
     assert 3.0 <= later <= 5.0
 
 
-def test_callers_do_not_come_back_in_one_moment():
-    """Guards against a burst of returning callers at a service that is back."""
+def test_callers_do_not_retry_at_the_same_moment():
+    """Guards against a burst of retries at a service that has recovered."""
     outages = ServiceOutages(random.Random(1))
-    seconds = told(outages, 10.0, count=200)
+    seconds = retry_seconds(outages, 10.0, count=200)
     by_tenth = [
         sum(low <= s - 0.75 < low + 0.1 for s in seconds) for low in (0, 0.2, 0.4)
     ]
@@ -31,13 +31,13 @@
 
 
 def test_an_outage_that_ended_does_not_count():
-    """Guards against long waits told in a new short outage."""
+    """Guards against long retry times in a new, short outage."""
     outages = ServiceOutages(random.Random(1))
-    told(outages, 10.0)
+    retry_seconds(outages, 10.0)
     outages.ended("notices")
-    assert told(outages, 20.0)[0] < 1.5
+    assert retry_seconds(outages, 20.0)[0] < 1.5
 
 
-def test_without_the_store_nobody_comes_back_sooner():
+def test_without_the_store_retry_times_are_longer():
     outages = ServiceOutages(random.Random(1))
-    assert told(outages, 10.0, store_is_away=True)[0] >= 1.5
+    assert retry_seconds(outages, 10.0, store_is_away=True)[0] >= 1.5
--- a/tests/test_slowdown.py
+++ b/tests/test_slowdown.py
@@ -1,4 +1,4 @@
-"""Slow engines, found by the pauses of their streams; no network, no clock."""
+"""Detection of slow engines by the pauses of their streams; no network, no clock."""
 
 import random
 
@@ -20,19 +20,19 @@
 )
 
 
-def test_one_long_pause_is_no_slow_engine():
-    """A prompt was read between two events; the engine is as fast as ever."""
+def test_two_long_pauses_are_no_slow_engine():
+    """Guards against engines that count as slow after the prefill of one prompt."""
     pauses = StreamPauses(0.05)
     slowdowns = [pauses.record(seconds) for seconds in (0.05, 0.06, 0.6, 0.6, 0.05)]
     assert max(slowdown for slowdown in slowdowns if slowdown) < 2.0
 
 
-def test_pauses_that_are_all_long_show_the_pace():
+def test_pauses_that_are_all_long_show_the_slowdown():
     pauses = StreamPauses(0.05)
     assert [pauses.record(0.25) for _ in range(4)] == [None, None, 5.0, 5.0]
 
 
-def test_a_slow_engine_is_told_and_tried_again():
+def test_a_slow_engine_is_reported_and_tried_again():
     """Short prompts try a slow engine again after two seconds, long ones much later."""
     slowdowns, peers = EngineSlowdowns(), EngineSlowdowns()
     assert slowdowns.observe("e1", 5.0, 0.0)
@@ -45,8 +45,8 @@
     assert slowdowns.own(2.6) == []
 
 
-def test_an_engine_that_is_fast_again_is_told_too():
-    """Long prompts go there at once, and do not wait for the news to get old."""
+def test_an_engine_that_is_fast_again_is_reported_too():
+    """Guards against long prompts that avoid the engine until an update expires."""
     slowdowns, peers = EngineSlowdowns(), EngineSlowdowns()
     slowdowns.observe("e1", 5.0, 0.0)
     peers.receive(slowdowns.own(0.0), 0.0)
@@ -55,20 +55,20 @@
     assert peers.slowdown("e1", 0.6, is_long=True) == 1.0
 
 
-def test_an_engine_that_was_never_slow_is_not_told():
+def test_an_engine_that_was_never_slow_is_not_reported():
     slowdowns = EngineSlowdowns()
     assert not slowdowns.observe("e1", 1.1, 0.0)
     assert slowdowns.own(0.0) == []
 
 
-def test_old_news_of_a_pace_does_not_replace_newer():
+def test_an_older_slowdown_does_not_replace_a_newer_one():
     slowdowns = EngineSlowdowns()
     slowdowns.receive([EngineSlowdown("e1", 5.0)], 2.0)
     slowdowns.receive([EngineSlowdown("e1", 2.5)], 1.0)
     assert slowdowns.slowdown("e1", 2.5, is_long=False) == 5.0
 
 
-def test_a_forecast_follows_the_pace():
+def test_a_forecast_follows_the_slowdown():
     slow = forecast(PROFILE, [], 0.0, slowdown=5.0)
     fast = forecast(PROFILE, [], 0.0)
     assert slow.first_event(0.1) == pytest.approx(5 * fast.first_event(0.1))
@@ -76,10 +76,10 @@
 
 
 def test_short_prompts_avoid_a_slow_engine_while_others_have_room():
-    """Callers of short prompts get no answer with pauses that are all too long.
+    """Guards against short prompts whose answers have only pauses that are too long.
 
     One of four engines takes five times as long as declared; it is idle, and the
-    others each have a few answers to write.
+    others each have a few answers to decode.
     """
     tracked_endpoints = [
         TrackedEndpoint(EndpointRecord(f"e{n}", "pool", "", "", 8, False, 0.0, 1), -1.0)
@@ -104,11 +104,11 @@
         load.put(demand.request_id, decoding)
 
 
-def test_a_slow_plain_endpoint_gets_a_share_of_the_calls_only():
-    """Guards against a third of all calls late at one endpoint of three that is slow.
+def test_a_slow_plain_endpoint_gets_few_calls():
+    """Guards against a third of all calls being late at one slow endpoint of three.
 
-    The daemon that places them has not called it itself; a peer has seen a call there
-    take four times its target.
+    The daemon that places the calls has not called it itself; a peer has observed a
+    call there that took four times its target.
     """
     slowdowns = EngineSlowdowns()
     slowdowns.receive([EngineSlowdown("slow", call_slowdown(1.2, 0.3))], 0.0)
@@ -132,8 +132,8 @@
     assert places.count("slow") <= 1
 
 
-def test_a_call_within_its_target_says_nothing():
-    """Guards against endpoints avoided for calls that merely differ."""
+def test_a_call_within_its_target_shows_no_slowdown():
+    """Guards against avoiding endpoints whose calls differ in length."""
     slowdowns = EngineSlowdowns()
     assert not slowdowns.observe("e1", call_slowdown(0.29, 0.3), 0.0)
     assert slowdowns.slowdown("e1", 0.1, is_long=False) == 1.0
