--- a/tests/test_endpoint_index.py
+++ b/tests/test_endpoint_index.py
@@ -1,4 +1,4 @@
-"""The index of endpoints agrees with their records, and costs no walk over them."""
+"""The index agrees with the endpoints' records and needs no iteration over them."""
 
 import random
 
@@ -34,13 +34,13 @@
     )
 
 
-def thousands(count=3000):
+def large_view(count=3000):
     records = [record(f"i-{number:04}") for number in range(count)]
     return EndpointView(1, {each.endpoint_id: each for each in records})
 
 
 class IndexMachine(RuleBasedStateMachine):
-    """Endpoints come, go, drain, restart and change service, also across outages."""
+    """Endpoints appear, leave, drain, restart and change service, also in outages."""
 
     def __init__(self):
         super().__init__()
@@ -71,7 +71,7 @@
         self.registry.apply(view, self.now, self.now)
 
     @invariant()
-    def pools_hold_what_is_believed(self):
+    def pools_match_tracked_endpoints(self):
         tracked_endpoints = self.registry.tracked_by_id.values()
         for service in SERVICES:
             for out in (frozenset(), frozenset({"fd-a"})):
@@ -92,10 +92,10 @@
 
 
 class CountingLoad(FleetLoad):
-    looked_at = 0
+    read_count = 0
 
     def at(self, endpoint_id):
-        self.looked_at += 1
+        self.read_count += 1
         return super().at(endpoint_id)
 
 
@@ -114,7 +114,7 @@
 
 def place(load, wanted):
     registry = EndpointRegistry()
-    registry.apply(thousands(), 1.0, 1.0)
+    registry.apply(large_view(), 1.0, 1.0)
     pool = registry.index.ready("drafting", frozenset())
     assert fits_fleet(wanted, pool)
     placer = Placer(
@@ -123,15 +123,15 @@
     return placer.place(wanted, pool, 1.0)
 
 
-def test_a_placement_looks_at_a_sample_of_thousands():
+def test_a_placement_compares_a_sample_of_thousands():
     """Guards against a request's cost that grows with the number of endpoints."""
     load = CountingLoad()
     assert place(load, demand()) is not None
-    assert load.looked_at <= SAMPLE_SIZE
+    assert load.read_count <= SAMPLE_SIZE
 
 
-def test_the_one_endpoint_that_may_still_answer_is_always_looked_at():
-    """Guards against a second try that fails since the sample misses its endpoint."""
+def test_the_only_endpoint_that_may_still_answer_is_always_sampled():
+    """Guards against a retry that fails since its only endpoint is not sampled."""
     placement = place(FleetLoad(), demand(answering_ids=frozenset({"i-2999"})))
     assert placement.endpoint_id == "i-2999"
 
@@ -145,10 +145,10 @@
     assert place(load, demand()) is not None
 
 
-def test_one_change_among_thousands_changes_one_belief():
+def test_one_change_among_thousands_replaces_one_endpoint():
     """Guards against state updates whose cost grows with the number of endpoints."""
     registry = EndpointRegistry()
-    first = thousands()
+    first = large_view()
     registry.apply(first, 1.0, 1.0)
     before = dict(registry.tracked_by_id)
     delta = EndpointDelta((record("i-0007", draining=True),), ())
@@ -161,13 +161,13 @@
     assert changed == {"i-0007"}
 
 
-def test_a_pool_of_nothing_is_empty():
+def test_a_pool_without_groups_is_empty():
     pool = EndpointPool([])
     assert len(pool) == 0
     assert pool.get("e1") is None
     assert not fits_fleet(demand(), pool)
 
 
-def test_a_pool_can_be_made_of_beliefs():
+def test_a_pool_can_be_made_of_tracked_endpoints():
     tracked = TrackedEndpoint(record("e1"), float("-inf"))
     assert list(EndpointPool.of([tracked])) == [tracked]
--- a/tests/test_last_resort.py
+++ b/tests/test_last_resort.py
@@ -1,4 +1,4 @@
-"""A service without another endpoint uses what still serves, within its bounds."""
+"""A service without a usable endpoint uses leaving ones, within their deadlines."""
 
 import random
 
@@ -36,10 +36,10 @@
 
 
 class LastResortMachine(RuleBasedStateMachine):
-    """Endpoints drain and restart, domains are taken out, the store is away at times.
+    """Endpoints drain and restart and domains are taken out between late snapshots.
 
-    Whatever a daemon has read and when, an endpoint of its last resort was told to
-    leave within the bound, counted from the store's acknowledgement.
+    Whatever a daemon has read and when, an endpoint is its last resort only within the
+    bound, counted from the store's acknowledgement of the change.
     """
 
     def __init__(self):
@@ -88,7 +88,7 @@
         self.operator.apply(view, self.now - 0.001, "store")
 
     @rule()
-    def hear_that_nothing_changed(self):
+    def receive_unchanged_digest(self):
         view = OperatorView.of(self.revision, b"", frozenset(self.out_at))
         if self.operator.view is not None and self.operator.digest == view.digest:
             self.operator.compare(view.revision, view.digest, self.now)
@@ -100,12 +100,15 @@
         )
         pool = last_resort(self.registry.index, "notices", restrictions, self.now)
         for tracked in pool:
-            believed = tracked.record
-            endpoint_id = believed.endpoint_id
-            if believed.draining and believed.born == self.records[endpoint_id].born:
+            known_record = tracked.record
+            endpoint_id = known_record.endpoint_id
+            if (
+                known_record.draining
+                and known_record.born == self.records[endpoint_id].born
+            ):
                 assert self.now < self.left_at[endpoint_id] + DRAIN_SECONDS
-            if believed.failure_domain in restrictions.out_since_by_domain:
-                out_at = self.out_at.get(believed.failure_domain, self.now)
+            if known_record.failure_domain in restrictions.out_since_by_domain:
+                out_at = self.out_at.get(known_record.failure_domain, self.now)
                 assert self.now < out_at + EVACUATE_SECONDS
 
 
@@ -124,12 +127,12 @@
 
 
 def test_one_that_was_never_seen_ready_is_no_last_resort():
-    """Guards against sends to an endpoint whose leaving has an unknown age."""
+    """Guards against sends to an endpoint that has been leaving for an unknown time."""
     assert usable_until(leaving(float("-inf")), restrictions()) == float("-inf")
 
 
 def test_the_earlier_of_two_bounds_counts():
-    """Guards against a domain's longer bound that hides an endpoint's own leaving."""
+    """Guards against a domain's later deadline that hides the endpoint's own."""
     tracked = leaving(10.0)
     domain = {"fd-a": 4.0}
     alone = usable_until(tracked, restrictions())
@@ -162,8 +165,8 @@
 def test_the_last_resort_is_used_where_nothing_else_answers():
     """Guards against refusals while an endpoint that is leaving still serves.
 
-    One of three endpoints went dark, one has left and the domain of the third was
-    taken out: callers are served there until its bound.
+    One of three endpoints stopped answering, one has left and the domain of the third
+    was taken out: callers are served by the third until its deadline.
     """
     health = EndpointHealth()
     health.failed("e1", 9.9)
@@ -172,15 +175,15 @@
     assert placement.last_resort
 
 
-def test_the_last_resort_rests_while_another_endpoint_is_sound():
-    """Guards against new work at endpoints that operators want to be empty."""
+def test_the_last_resort_is_unused_while_another_endpoint_is_healthy():
+    """Guards against new work at endpoints that operators want to be idle."""
     placement = placed(EndpointHealth(), ["e1"], ["e3"])
     assert placement.endpoint_id == "e1"
     assert not placement.last_resort
 
 
 def test_a_full_endpoint_is_no_reason_for_the_last_resort():
-    """Guards against new work at leaving endpoints in a mere burst."""
+    """Guards against new work at leaving endpoints during a short burst."""
     load = FleetLoad()
     placer = Placer(
         load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.0
