--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The gateway's decisions, each by itself: no network, no clock."""
+"""Unit tests of the gateway's routing decisions, without network or clock."""
 
 import random
 
@@ -90,9 +90,10 @@
 
 class TestEndpointRegistry:
     def test_an_older_reading_changes_nothing(self):
-        """Callers never reach an endpoint again that is known to be leaving.
+        """Guards against new work at an endpoint that is known to be leaving.
 
-        A peer's reading from before comes after our own: by its revision it is old.
+        A peer's older snapshot arrives after the daemon's own; its revision shows that
+        it is older.
         """
         registry = EndpointRegistry()
         registry.apply(view(5, record(draining=True)), 1.0, 1.0)
@@ -106,10 +107,10 @@
         assert [(c.endpoint_id, c.what) for c in changes] == [("e2", "gone")]
 
     def test_records_that_lapsed_in_an_outage_are_kept_for_a_while(self):
-        """Callers are served by endpoints that live, right after the store's return.
+        """Guards against the loss of endpoints that are alive after a store outage.
 
-        The store was away for five seconds, in which every record lapsed. The first
-        reading shows none; two seconds later who is still missing is gone.
+        The store was unavailable for five seconds, in which every record expired. The
+        first snapshot shows none; an endpoint still missing two seconds later is gone.
         """
         registry = EndpointRegistry()
         registry.apply(view(1, record("e1"), record("e2")), 1.0, 1.0)
@@ -126,7 +127,7 @@
         registry.apply(view(9), 6.0, 6.0)
         assert not registry.tracked_by_id
 
-    def test_a_restart_under_the_same_id_is_told(self):
+    def test_a_restart_under_the_same_id_is_reported(self):
         registry = EndpointRegistry()
         registry.apply(view(1, record(born=1)), 1.0, 1.0)
         changes = registry.apply(view(2, record(born=2)), 1.5, 1.5)
@@ -140,11 +141,11 @@
         assert members.serving(2.0)
         assert not members.serving(2.1)
 
-    def test_a_larger_fleet_does_not_hear_more_and_still_learns_in_time(self):
-        """A daemon of 300 hears hardly more heartbeats a second than one of 100.
+    def test_a_larger_fleet_receives_few_more_heartbeats_and_detects_in_time(self):
+        """Guards against heartbeats that grow with the fleet, and late detection.
 
-        A dead daemon is named to callers for four seconds, in the largest fleets for
-        no longer than the deployment allows.
+        A dead daemon's address is given to callers for four seconds, in the largest
+        fleets for no longer than the deployment allows.
         """
         assert 100 / heartbeat_seconds(100) <= 168
         assert 320 / heartbeat_seconds(320) < 300
@@ -176,10 +177,11 @@
     def test_a_restart_with_the_clock_set_back_is_heard_once_the_old_one_is_silent(
         self,
     ):
-        """Callers are sent to a daemon again that restarts after its clock jumped back.
+        """Guards against ignoring a daemon that restarts after its clock was set back.
 
-        Its incarnation, named by the time of day, is lower than before. Late news of
-        the one before looks the same, but comes while that is still heard.
+        Its incarnation, taken from the time of day, is lower than before. A delayed
+        heartbeat of an earlier incarnation looks the same, but arrives while the later
+        one is not silent.
         """
         members = Members("d1", 3.0)
         members.receive(heartbeat(incarnation=9, sequence=700), 0.0)
@@ -189,10 +191,9 @@
         assert members.serving(2.6)
 
     def test_after_a_pause_of_its_own_a_daemon_blames_nobody(self):
-        """Callers are told of all daemons by one that has just woken up.
+        """Guards against a daemon that takes all others for dead after its own freeze.
 
-        The VM stood still for five seconds. That nobody was heard meanwhile says
-        nothing of the others.
+        The VM was frozen for five seconds, in which the daemon received no heartbeats.
         """
         members = Members("d1", 3.0)
         members.receive(heartbeat(), 0.0)
@@ -209,10 +210,10 @@
 
 class TestReadingPolicy:
     def test_the_next_takes_over_before_a_leaving_endpoint_must_be_left_alone(self):
-        """No daemon's knowledge is older than the time that an endpoint drains.
+        """Guards against snapshots older than the time that an endpoint drains.
 
-        Whoever reads is lost; then the next, and all others at once. Each reads well
-        before two seconds are over.
+        The daemon that reads is lost, then the next one, then all others at once. Each
+        remaining one reads well within two seconds.
         """
         policy = RefreshPolicy(2.0, random.Random(1))
         limits = [policy.age_limit(rank) for rank in range(90)]
@@ -220,9 +221,9 @@
         assert limits[0] < 0.5 and limits[-1] <= 1.2
 
     def test_readings_that_take_long_are_waited_for(self):
-        """Guards against second readers of thousands of endpoints, each of a megabyte.
+        """Guards against several daemons reading snapshots of a megabyte each.
 
-        The first one's readings are 0.8 s old when they come.
+        The first one's snapshots of thousands of endpoints arrive 0.8 s old.
         """
         policy = RefreshPolicy(3.0, random.Random(1))
         for _ in range(20):
@@ -233,9 +234,9 @@
 
     @pytest.mark.parametrize("members", [1, 9, 84, 320])
     def test_an_outage_does_not_make_calls_grow_with_the_fleet(self, members):
-        """The store's return meets a few calls a second, not hundreds.
+        """Guards against hundreds of calls a second when the store recovers.
 
-        It answers nobody for twenty seconds, and each daemon asks on its own.
+        It does not answer for twenty seconds, and each daemon calls it by itself.
         """
         rng = random.Random(2)
         calls = 0
@@ -253,9 +254,10 @@
         requests=st.integers(0, 400),
     )
     def test_the_fleet_stays_within_its_allowance(self, members, requests):
-        """Endpoints see no storm of second tries, whoever sends them.
+        """Guards against a retry storm from all daemons together.
 
-        Every daemon's requests all fail, and each takes what it may.
+        All requests of every daemon fail, and each daemon sends as many retries as it
+        may.
         """
         taken = 0
         for daemon in range(members):
@@ -276,17 +278,17 @@
 
 
 class TestEndpointHealth:
-    def test_an_endpoint_that_fails_rests_longer_each_time(self):
+    def test_cooldowns_grow_with_each_failure(self):
         health = EndpointHealth()
-        rests = [health.failed("e1", 0.0) for _ in range(6)]
-        assert rests == sorted(rests)
-        assert health.is_cooling_down("e1", rests[-1] - 0.01)
-        assert not health.is_cooling_down("e1", rests[-1] + 0.01)
+        cooldowns = [health.failed("e1", 0.0) for _ in range(6)]
+        assert cooldowns == sorted(cooldowns)
+        assert health.is_cooling_down("e1", cooldowns[-1] - 0.01)
+        assert not health.is_cooling_down("e1", cooldowns[-1] + 0.01)
 
     def test_old_failures_are_forgotten(self):
-        """An endpoint that failed is used again though others are idle.
+        """Guards against an endpoint that is avoided for ever after failures.
 
-        It is passed over for its share of failures, so nothing but time can mend that.
+        It gets no requests because of its failure share, so only time can lower that.
         """
         health = EndpointHealth()
         for _ in range(10):
@@ -294,7 +296,7 @@
         assert health.failure_share("e1", 0.0) > 0.6
         assert health.failure_share("e1", 20.0) < 0.01
 
-    def test_requests_that_fail_everywhere_rest_nobody(self):
+    def test_requests_that_fail_everywhere_cause_no_cooldown(self):
         health = EndpointHealth()
         health.answered_failure("e1", 0.0)
         assert not health.is_cooling_down("e1", 0.0)
@@ -313,7 +315,7 @@
 
 
 class TestDirectory:
-    def test_callers_are_told_of_those_that_serve(self):
+    def test_callers_receive_the_addresses_of_serving_daemons(self):
         serving = [heartbeat("d2", entry_address="b:1")]
         rng = random.Random(1)
         assert choose_addresses(serving, "a:1", False, rng) == ["a:1", "b:1"]
@@ -359,24 +361,24 @@
         assert prefill_time(profile, 154_000, 4) == pytest.approx(whole / 4)
 
     def test_reading_harms_answers_whose_pauses_it_makes_too_long(self, profile):
-        """What counts is the whole pass: its steps and all that is read in it."""
+        """A pause is the whole pass: its steps and all prefill in it."""
         writer = Job("e1", 5000, 0.03, 0.0, 0.0, decoding=True, gap_seconds=0.25)
         engine = forecast(profile, [writer], 1.0)
         assert engine.interference(0.1) == 0
         assert engine.interference(0.3) == 1
 
-    def test_parts_of_others_are_read_first(self, profile):
-        """A prompt that waits is made late by a helper's part, not by a later one."""
+    def test_parts_of_joint_prompts_are_read_first(self, profile):
+        """A helper's part delays a waiting prompt; a later whole prompt does not."""
         waiting = Job("e1", 5000, 0.5, 0.0, 0.5, due_at=1.0)
         engine = forecast(profile, [waiting], 0.0)
         assert engine.interference(0.8, joint=True) == 1 + DELAY_PRICE * 0.8
         assert engine.interference(0.8) == 0
 
     def test_every_part_that_came_later_counts(self, profile):
-        """A prompt is not taken for on time by its first forecast for ever.
+        """Guards against a forecast that ignores the parts which arrived later.
 
-        Part after part overtakes it. Each alone would leave it on time; the fourth
-        must be seen to make it late.
+        Several parts overtake a prompt. Each alone would leave it on time; the fourth
+        makes it late.
         """
         waiting = Job("e1", 5000, 0.5, 0.0, 0.5, due_at=2.2)
         part = Job("e1", 0, 0.5, 0.0, 0.5, helper=True, joint=True, value=0.0)
@@ -384,18 +386,18 @@
         assert engine.interference(0.5, joint=True) == 1 + DELAY_PRICE * 0.5
 
     def test_a_prompt_that_is_late_already_is_not_overtaken_for_nothing(self, profile):
-        """Its caller still waits: an engine where nothing waits is the better one."""
+        """Its caller still waits: an engine where no prompt waits is the better one."""
         late = Job("e1", 5000, 0.5, 0.0, 0.5, due_at=0.1, value=20.0)
         engine = forecast(profile, [late], 0.0)
         assert 0 < engine.interference(0.5, joint=True) < late.value
         assert engine.interference(0.5) == 0
 
     def test_the_part_that_came_last_is_read_first(self, profile):
-        """A caller of a very long prompt waits while others' prompts go before it.
+        """Guards against a very long prompt that is late behind parts of later prompts.
 
-        Its parts lie at engines where, one after the other, parts of later prompts
-        come. Each goes ahead: the first prompt's backlog is all of them, and one
-        more of half a second makes it late.
+        At the engines that read its parts, parts of later prompts arrive one after
+        another and are read first. The first prompt waits for all of them, and one more
+        of half a second makes it late.
         """
         first = Job("e1", 0, 1.0, 0.0, 1.0, due_at=2.4, helper=True, joint=True)
         second = first._replace(started_at=0.4, due_at=9.0, value=0.0)
@@ -406,7 +408,7 @@
         assert engine.interference(0.3, joint=True) == DELAY_PRICE * 0.3
 
     def test_a_part_goes_ahead_of_all_that_waits(self, profile):
-        """It is foreseen after its own reading, a whole prompt after all others'."""
+        """A part waits for its own prefill only, a whole prompt for all others' too."""
         alone = Job("e1", 5000, 0.6, 0.0, 0.6)
         part = Job("e1", 0, 0.5, 0.0, 0.5, helper=True, joint=True)
         engine = forecast(profile, [alone, part], 0.2)
@@ -416,9 +418,9 @@
         assert engine.first_event(0.1) == pytest.approx(0.3 + 0.6 + expected)
 
     def test_an_idle_engine_answers_after_a_pass(self, profile):
-        """Guards against forecasts that take an idle engine for quicker than it is.
+        """Guards against forecasts that are too early at an idle engine.
 
-        An event holds the tokens of a pass, the first one too.
+        Every event, including the first one, holds the tokens of a whole pass.
         """
         one_pass = profile.stride * profile.step_seconds
         assert forecast(profile, [], 0.0).first_event(0.1) == pytest.approx(
@@ -426,9 +428,10 @@
         )
 
     def test_what_a_part_overtakes_is_read_in_its_own_answer(self, profile):
-        """A short prompt in two parts overtakes a long one's and stops a second later.
+        """Guards against a joint prompt whose answer pauses for what it has overtaken.
 
-        Its first event is in time; the long prompt is read before its second one.
+        A short prompt in two parts overtakes a long one's part. Its first event is on
+        time, but the long part is read before its second event, about a second later.
         """
         part = Job("e1", 0, 0.9, 0.0, 0.9, helper=True, joint=True)
         engine = forecast(profile, [part], 0.0)
@@ -439,9 +442,10 @@
         assert not engine.exceeds_gap(1.2, joint=True)
 
     def test_an_answer_that_is_about_to_begin_is_spared_a_pause(self, profile):
-        """A short prompt is being read; behind it comes a long one's part.
+        """Guards against a long prefill placed behind a short prompt.
 
-        Its first event is in time, and the second would come a second later.
+        The first event of the short prompt would be on time, but the second one would
+        follow a second later.
         """
         short = Job("e1", 5000, 0.05, 0.0, 0.05, due_at=0.3, gap_seconds=0.25)
         engine = forecast(profile, [short], 0.0)
@@ -471,7 +475,7 @@
         assert one.digest != OperatorView.of(1, b"{}", frozenset({"a"})).digest
 
 
-def test_what_is_held_against_endpoints_that_are_gone_is_forgotten():
+def test_the_health_of_removed_endpoints_is_dropped():
     health = EndpointHealth()
     health.failed("e1", 0.0)
     health.failed("e2", 0.0)
