--- a/cranberrywick/routing/fleet_limits.py
+++ b/cranberrywick/routing/fleet_limits.py
@@ -50,8 +50,8 @@
 class PermitTerms(NamedTuple):
     """The terms of a daemon's request for a permit.
 
-    ``rate`` is the endpoint's limit in requests a second, as this daemon knows it,
-    ``live_share`` the share of the fleet that it knows to be alive, and
+    ``rate`` is the endpoint's limit in requests a second, as recorded here,
+    ``live_share`` the share of the fleet that is known to be alive, and
     ``longest_wait`` how many seconds the request would wait.
     """
 
--- a/cranberrywick/routing/load.py
+++ b/cranberrywick/routing/load.py
@@ -1,4 +1,4 @@
-"""The jobs of the whole fleet at each endpoint, as far as this daemon knows them.
+"""The jobs of the whole fleet at each endpoint, as far as known here.
 
 Load pattern: several daemons place prompts on the same engines without a common queue.
 Without this module each chooses an engine that looks idle to it, and three long prompts
--- a/cranberrywick/routing/registry.py
+++ b/cranberrywick/routing/registry.py
@@ -2,7 +2,7 @@
 
 Load pattern: the store is unavailable for seconds while traffic continues, and
 endpoints that are alive lose their records meanwhile, since these expire. Without the
-grace period below the is_first snapshot after the outage shows half of the endpoints
+grace period below the first snapshot after the outage shows half of the endpoints
 missing, and all traffic goes to the rest.
 """
 
