--- a/cranberrywick/decisions/grants.py
+++ b/cranberrywick/decisions/grants.py
@@ -71,7 +71,7 @@
     answers completed there since the daemon started. ``trouble`` is what the daemon
     observed since its last demand, in the endpoint's run ``incarnation``.
     ``was_cold`` is true if the endpoint was cold by the last report that the daemon
-    received.
+    received from a steward, which reports it cold until all its slots may be used.
     """
 
     endpoint_id: str
--- a/cranberrywick/decisions/membership.py
+++ b/cranberrywick/decisions/membership.py
@@ -283,8 +283,9 @@
     def updates_for(self, daemon_id: str, limit: int) -> list[Member]:
         """Return the updates to send to this member, least often sent first.
 
-        There are at most ``limit``, and each counts as sent. If the member itself is
-        suspect or dead here, its own record comes first, so that it can refute.
+        There are at most ``limit``, and each pending update that is returned counts as
+        sent. If the member itself is suspect or dead here, its own record comes first,
+        so that it can refute.
         """
         updates = []
         own_record = self._members_by_id.get(daemon_id)
--- a/cranberrywick/decisions/orphans.py
+++ b/cranberrywick/decisions/orphans.py
@@ -7,8 +7,8 @@
 Figures: if the owner is certainly gone, since its daemon has restarted or itself
 reports that the request has ended, the item is released after ``GONE_SECONDS``, which
 is longer than a release in transit takes. A silent daemon may only be partitioned from
-this one, and regions lose contact with each other for minutes. Its reservations are
-kept for ``SILENT_SECONDS``, and its streams as long as they have a reader. A release
+this one, and regions lose contact with each other for minutes. What it holds is
+released after ``SILENT_SECONDS``, but a stream never while it has a reader. A release
 by mistake costs the request a typed failure, never a wrong answer.
 """
 
--- a/cranberrywick/decisions/retries.py
+++ b/cranberrywick/decisions/retries.py
@@ -28,6 +28,7 @@
 EARNED_PER_SUCCESS = 0.1
 INITIAL_BUDGET = 10.0
 MAX_BUDGET = 100.0
+# Largest number of attempts for one request, the first included.
 MAX_ATTEMPTS = 3
 
 
--- a/cranberrywick/decisions/scheduler.py
+++ b/cranberrywick/decisions/scheduler.py
@@ -3,7 +3,8 @@
 Work is admitted by its predicted wait, queued here in fair order, and sent only when
 an endpoint is about to become free, because work that has been sent can no longer be
 reordered. Each event costs a few dictionary and heap operations. Only the sweep, once
-a second, iterates over all endpoints; nothing iterates over the whole queue.
+a second, the planning of gangs and changes of the configuration iterate over all
+endpoints; nothing iterates over the whole queue.
 """
 
 from collections.abc import Mapping
