--- a/cranberrywick/claims/queue.py
+++ b/cranberrywick/claims/queue.py
@@ -171,8 +171,8 @@
     ) -> None:
         _log.warning("claims_not_written", bucket=bucket_id, error=error)
         if isinstance(error, CommitUnsettled):
-            # The claims may be in the store, although their callers are told that the
-            # call did not run. If they stayed, the callers could never run the call.
+            # The claims may be in the store, although their calls will not be sent. If
+            # the claims stayed, their callers could never run these calls.
             deferred = [*deferred, *(Release(w.operation.claim) for w in batch)]
         with self._changed:
             self._backlog.extendleft(reversed(deferred))
--- a/cranberrywick/claims/slices.py
+++ b/cranberrywick/claims/slices.py
@@ -94,8 +94,8 @@
     def refresh_if_due(self) -> None:
         """Read the slices if the last reading is `REFRESH_SECONDS` old.
 
-        Create a slice if the newest has been known for `SLICE_SECONDS`. Raises
-        `PlatformUnavailable`.
+        Create a slice if there is none or if the newest has been known for
+        `SLICE_SECONDS`. Raises `PlatformUnavailable`.
         """
         with self._lock:
             now = self._clock()
--- a/cranberrywick/controllers/authority.py
+++ b/cranberrywick/controllers/authority.py
@@ -89,7 +89,7 @@
         self._wanted = shards
 
     def held_until(self, shard: Shard) -> float | None:
-        """Return until when the shard is held, on the clock of this object.
+        """Return until when the shard is held, in seconds on this object's clock.
 
         Returns None if the shard isn't held. Never waits.
         """
--- a/cranberrywick/controllers/endpoints.py
+++ b/cranberrywick/controllers/endpoints.py
@@ -217,7 +217,7 @@
         self._polling.discard(endpoint_id)
 
     def record_load(self, load: EndpointLoad) -> None:
-        """Apply a report that this daemon requested, and publish it to its peers."""
+        """Apply a report that this daemon requested; call ``heard`` if it is current."""
         if self._apply_load(load):
             self._on_load(load)
 
--- a/cranberrywick/controllers/grants.py
+++ b/cranberrywick/controllers/grants.py
@@ -48,7 +48,10 @@
         """Replace the shards to hold; they are acquired in the background."""
 
     def held_until(self, shard: Shard) -> float | None:
-        """Return until when the shard is held, None if it isn't; never waits."""
+        """Return until when the shard is held, in monotonic seconds; never waits.
+
+        Returns None if the shard isn't held.
+        """
 
 
 class NoAuthority:
--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -34,7 +34,7 @@
 
 __all__ = ["ConfigurationId", "MembershipController", "MembershipView", "Snapshot"]
 
-# Number of ticks between two probes of a member.
+# Number of ticks between two regular probes, each of one member.
 TICKS_PER_PROBE = 4
 # Number of ticks between two hellos to seeds that are not known to be alive, one seed
 # at a time. Through these hellos the two sides of a healed partition find each other.
--- a/cranberrywick/controllers/orders.py
+++ b/cranberrywick/controllers/orders.py
@@ -64,7 +64,7 @@
         self._paused_until = 0.0
 
     def tick(self) -> None:
-        """Plan, and send the orders that are due to this daemon's own endpoints."""
+        """Plan, and send the orders to the endpoints that this daemon is steward of."""
         now = self._clock()
         configuration = self._configuration()
         if configuration is None or now < self._paused_until:
