--- a/cranberrywick/controllers/endpoints.py
+++ b/cranberrywick/controllers/endpoints.py
@@ -217,7 +217,10 @@
         self._polling.discard(endpoint_id)
 
     def record_load(self, load: EndpointLoad) -> None:
-        """Apply a report that this daemon requested; call ``heard`` if it is current."""
+        """Apply a report that this daemon requested, and call ``heard`` with it.
+
+        ``heard`` is not called for a report that is outdated or of an unknown endpoint.
+        """
         if self._apply_load(load):
             self._on_load(load)
 
--- a/cranberrywick/decisions/admission.py
+++ b/cranberrywick/decisions/admission.py
@@ -47,6 +47,7 @@
 # in engine seconds per second.
 MIN_DRAIN_SHARE = 0.1
 MIN_DRAIN_RATE = 0.1
+# Queued engine time, in seconds, below which only rounding errors are left of it.
 ROUNDING_SECONDS = 1e-6
 # Bounds, in seconds, of the time after which a refused caller is asked to retry. The
 # upper one is multiplied by a random factor between 0.5 and 1.5.
--- a/cranberrywick/decisions/division.py
+++ b/cranberrywick/decisions/division.py
@@ -3,8 +3,9 @@
 Load pattern: one daemon has a burst, the others have little work, and there are often
 fewer slots than daemons. Divided by demand, the slots that the others do not want go
 to the burst. Divided evenly, the burst would queue while slots are idle; and rounded
-down, eight slots divided by nine daemons are none. All daemons compute the same
-division without messages, including who gets the slots that remain after rounding.
+down, eight slots divided by nine daemons are none. The same arguments always give the
+same division, including who gets the slots that remain after rounding. So daemons need
+no messages to divide the endpoint of a steward that does not answer.
 """
 
 from collections.abc import Iterable, Mapping
--- a/cranberrywick/decisions/membership.py
+++ b/cranberrywick/decisions/membership.py
@@ -44,6 +44,7 @@
 # Average number of daemons that probe a member at once after an update that it is
 # suspect.
 URGENT_PROBERS = 10
+# Largest number of such probes that this daemon sends in one tick.
 URGENT_PROBES_PER_TICK = 10
 # Number of times an update is sent, as a multiple of log2 of the number of members.
 RETRANSMIT_MULTIPLIER = 3
--- a/cranberrywick/decisions/slow_endpoints.py
+++ b/cranberrywick/decisions/slow_endpoints.py
@@ -44,7 +44,9 @@
 FLEET_LEARNING_RATE = 0.02
 # Largest logarithm of a ratio that one outcome counts with (e**2.5, about twelvefold).
 MAX_LOG_RATIO = 2.5
+# Number of outcomes that an endpoint needs before it may be ejected.
 MIN_OUTCOMES = 2
+# Largest share of the endpoints that may be ejected at once; one always may be.
 MAX_EJECTED_SHARE = 0.2
 # The wait before the next probe starts at the minimum when an endpoint is ejected. Each
 # bad probe multiplies it by `PROBE_BACKOFF`, up to the maximum.
--- a/tests/test_decisions_machines.py
+++ b/tests/test_decisions_machines.py
@@ -1,4 +1,8 @@
-"""State machine tests of the invariants of the queue, the budget and the scheduler."""
+"""State machine tests of the invariants of the queue, the budget and the scheduler.
+
+They guard against requests that are lost, served twice or starved, retries beyond the
+budget, and endpoints that get more requests than they have slots.
+"""
 
 from random import Random
 
--- a/tests/test_grants_machine.py
+++ b/tests/test_grants_machine.py
@@ -1,7 +1,9 @@
 """Leases under lost, late and repeated messages and changes of steward.
 
 The ledgers of stewards and nine holders exchange the messages that daemons exchange.
-Hypothesis chooses which of them are lost, delayed, repeated and reordered.
+Hypothesis chooses which of them are lost, delayed, repeated and reordered. The tests
+guard against leases that together exceed a warm endpoint's slots, and against more work
+at an endpoint in cold start than it can run.
 """
 
 from enum import Enum
