--- a/cranberrywick/decisions/membership.py
+++ b/cranberrywick/decisions/membership.py
@@ -44,6 +44,7 @@
 # Average number of daemons that probe a member at once after an update that it is
 # suspect.
 URGENT_PROBERS = 10
+# Largest number of such probes that this daemon sends in one tick.
 URGENT_PROBES_PER_TICK = 10
 # Number of times an update is sent, as a multiple of log2 of the number of members.
 RETRANSMIT_MULTIPLIER = 3
@@ -283,8 +284,9 @@
     def updates_for(self, daemon_id: str, limit: int) -> list[Member]:
         """Return the updates to send to this member, least often sent first.
 
-        There are at most ``limit``, and each counts as sent. If the member itself is
-        suspect or dead here, its own record comes first, so that it can refute.
+        There are at most ``limit``, and each pending update that is returned counts as
+        sent. If the member itself is suspect or dead here, its own record comes first,
+        so that it can refute.
         """
         updates = []
         own_record = self._members_by_id.get(daemon_id)
