--- a/cranberrywick/daemon.py
+++ b/cranberrywick/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of one entry VM: every part, joined."""
+"""The daemon of one entry VM: creates its parts and connects them."""
 
 import json
 import time
@@ -51,18 +51,23 @@
 
 __all__ = ["Daemon"]
 
-# Timers of daemons that start together drift apart.
+# Largest share by which an interval is made shorter or longer at random, so that
+# daemons that start together do not call the platform at the same moments.
 TIMER_JITTER = 0.1
 
-# A drain ends at the latest then, whatever still runs.
+# Longest wait for running requests at the end of a drain, in seconds. What still
+# runs then is cut.
 DRAIN_LIMIT_SECONDS = 600.0
 
-# Orders follow changes of the configuration, which operators make by the hour.
+# Interval between rounds of orders, in seconds. Orders follow changes of the
+# configuration, which operators make about once an hour.
 ORDER_SECONDS = 5.0
 
 
 class Daemon:
-    """One daemon; several may run in one process, as the demonstration does.
+    """The daemon: an HTTP server for callers and a node of the peer network.
+
+    Several may run in one process, as in the demonstration.
 
     >>> daemon = Daemon(load_settings("daemon-1.json"))
     >>> daemon.start()
@@ -83,13 +88,13 @@
             demand_rose=lambda: self._peers.demand_rose(),
         )
         self._relay = Relay()
-        self._open_platform()
+        self._open_stores()
         self._board = EndpointBoard()
-        self._stewarded: frozenset[str] = frozenset()
+        self._stewarded_ids: frozenset[str] = frozenset()
         self._server = HttpServer(
             self._application, settings.listen, threads=settings.threads
         )
-        self._peers = self._join_peers()
+        self._peers = self._make_peer_node()
         self._endpoints = EndpointController.start(
             VmList(settings.vm_list),
             self._board,
@@ -100,31 +105,32 @@
             left=self._peers.announce_leaving,
         ).proxy()
         self._sweeper = ControllerHandle(
-            SweepController, self._own_engines, self._owner_state
+            SweepController, self._stewarded_engines, self._owner_state
         )
-        self._orders = self._make_orders()
+        self._orders = self._make_order_controller()
         self._front = self._make_front()
         observe_parts(
             self._metrics, self._board, self._relay, self._peers.transport.counts
         )
         self._subscribe()
 
-    def _open_platform(self) -> None:
+    def _open_stores(self) -> None:
         platform = open_key_value_store(self._settings.key_value)
         observe = self._metrics.platform_call
-        # Two budgets: a burst of bookings must not hold up an operator's change.
-        for_operators = BudgetedKeyValueStore(platform, observe=observe)
+        # Each of the two stores has its own budget of calls, so that a burst of
+        # bookings does not delay an operator's change.
+        operator_store = BudgetedKeyValueStore(platform, observe=observe)
         store = BudgetedKeyValueStore(platform, observe=observe)
         self._store = store
         self._configuration = ConfigurationController(
-            for_operators, seed=self._settings.seed
+            operator_store, seed=self._settings.seed
         )
         self._claims = ClaimStore(store)
         self._authority = ShardAuthority(
             store, self._settings.daemon_id, seed=self._settings.seed
         )
 
-    def _join_peers(self) -> PeerNode:
+    def _make_peer_node(self) -> PeerNode:
         return PeerNode(
             self._settings,
             self._timers,
@@ -134,7 +140,7 @@
             seed=self._settings.seed,
         )
 
-    def _make_orders(self) -> ControllerHandle:
+    def _make_order_controller(self) -> ControllerHandle:
         weights = WeightStore(self._settings.weight_store)
         return ControllerHandle(
             OrderController,
@@ -142,7 +148,7 @@
             self._configuration_in_force,
             lambda: self._board.endpoints_by_id,
             lambda: self._board.loads_by_id,
-            lambda endpoint_id: endpoint_id in self._stewarded,
+            lambda endpoint_id: endpoint_id in self._stewarded_ids,
         )
 
     def _make_front(self) -> Front:
@@ -172,19 +178,20 @@
             self._dispatcher,
             self._relay,
             self._board,
-            self._name_owner,
+            self._format_owner,
             self._record_refusal,
         )
         return FilterChain([record, IdentifyFilter(), *own_filters, dispatch])
 
     def _subscribe(self) -> None:
-        """Join the parts; each callback is short and never waits."""
+        """Connect the parts by callbacks, each of which is short and never blocks."""
         self._configuration.on_change(self._configuration_changed)
         self._peers.on_configuration(self._configuration_from_peer)
         self._peers.on_shares(self._dispatcher.set_shares)
         self._peers.on_load(lambda load: self._endpoints.record_peer_load(load))
         self._peers.on_stewarded(self._stewarded_changed)
-        # The platform's rates are for the fleet, and each daemon takes its part.
+        # The platform's rate limits hold for the whole fleet; each daemon uses an
+        # equal part.
         self._peers.on_membership(
             lambda snapshot: self._store.set_daemons(len(snapshot.members_by_id))
         )
@@ -195,16 +202,16 @@
 
     @property
     def address(self) -> str:
-        """Where callers reach this daemon, as ``ip:port``."""
+        """The address on which this daemon serves callers, as ``ip:port``."""
         return self._server.address
 
     @property
     def peer_address(self) -> str:
-        """Where other daemons reach this one, as ``ip:port``."""
+        """The address on which this daemon receives from peers, as ``ip:port``."""
         return self._peers.address
 
     def start(self) -> None:
-        """Begin to serve; returns before the first configuration has arrived."""
+        """Start every part and return, before the first configuration is loaded."""
         self._dispatcher.start()
         self._relay.start()
         self._claims.start()
@@ -214,7 +221,7 @@
         every(LIST_SECONDS, lambda: self._endpoints.refresh_list(), TIMER_JITTER)
         every(LOAD_SECONDS, lambda: self._endpoints.refresh_loads(), TIMER_JITTER)
         every(SWEEP_SECONDS, self._sweep, TIMER_JITTER)
-        every(ORDER_SECONDS, self._give_orders, TIMER_JITTER)
+        every(ORDER_SECONDS, self._send_orders, TIMER_JITTER)
         self._endpoints.refresh_list()
         self._peers.start()
         self._timers.start()
@@ -263,7 +270,7 @@
         members = self._peers.snapshot.members_by_id.values()
         return [member.entry_address for member in members]
 
-    def _name_owner(self, request_id: str) -> str:
+    def _format_owner(self, request_id: str) -> str:
         myself = self._peers.myself
         return str(Owner(myself.daemon_id, myself.incarnation, request_id))
 
@@ -275,26 +282,27 @@
             self._peers.snapshot.members_by_id,
         )
 
-    def _own_engines(self) -> dict[str, str]:
-        """Return the engines that this daemon is steward of, with addresses."""
+    def _stewarded_engines(self) -> dict[str, str]:
+        """Return the addresses of the engines whose steward is this daemon, by id."""
         endpoints_by_id = self._board.endpoints_by_id
         return {
             endpoint_id: endpoints_by_id[endpoint_id].address
-            for endpoint_id in self._stewarded
+            for endpoint_id in self._stewarded_ids
             if endpoint_id in endpoints_by_id
             and endpoints_by_id[endpoint_id].kind is EndpointKind.ENGINE
         }
 
     def _stewarded_changed(self, endpoint_ids: frozenset[str]) -> None:
-        self._stewarded = endpoint_ids
+        self._stewarded_ids = endpoint_ids
         self._endpoints.ask_only(endpoint_ids)
 
     def _sweep(self) -> None:
-        # A sweep or a round of orders that takes long must not queue up others.
+        # A slow sweep must not let further sweeps pile up in the controller's queue;
+        # the same holds for a round of orders.
         if self._sweeper.waiting == 0:
             self._sweeper.tell(SweepController.sweep)
 
-    def _give_orders(self) -> None:
+    def _send_orders(self) -> None:
         if self._orders.waiting == 0:
             self._orders.tell(OrderController.tick)
 
@@ -340,23 +348,26 @@
         }
 
     @property
-    def _entry_wait(self) -> float:
-        """How long callers may still come with this daemon's address, in seconds.
+    def _drain_wait(self) -> float:
+        """Seconds for which callers may still hold this daemon's address.
 
-        Peers hand it out as well, for longer than this daemon alone does.
+        Other daemons give the address to callers as well, and with a longer lifetime
+        than a daemon that has no peers.
         """
         others = self._peers.snapshot.serving_by_id.keys() - {self._settings.daemon_id}
         return DRAIN_SECONDS if others else ALONE_LIFETIME_SECONDS
 
     def drain(self) -> None:
-        """Leave the address answers, wait them out, and let every request end.
+        """Withdraw this daemon's address, wait, and let every request end.
 
-        Closing the listener first would refuse callers that were told a moment ago
-        to come here; ending the process first would cut their streams.
+        The listener stays open until the answers that hold the address have expired:
+        closed earlier, it would refuse callers that were sent here a moment ago.
+        Running requests are waited for, since the end of the process would cut their
+        streams; the wait is at most `DRAIN_LIMIT_SECONDS`.
         """
         self._draining = True
         self._peers.leave()
-        wait = self._entry_wait
+        wait = self._drain_wait
         self._log.info("drain_started", wait=wait)
         time.sleep(wait)
         self._server.stop_accepting()
@@ -365,7 +376,7 @@
         self._log.info("drain_ended", idle=idle)
 
     def stop(self) -> None:
-        """End at once; a planned stop calls `drain` first."""
+        """Stop every part at once; a planned stop calls `drain` first."""
         self._timers.stop()
         self._server.stop()
         self._claims.stop()
