--- a/cranberrywick/dispatcher.py
+++ b/cranberrywick/dispatcher.py
@@ -1,4 +1,4 @@
-"""The daemon's one scheduler: the strategy, its lock and the waiting requests."""
+"""The daemon's scheduler: the strategy, its lock and the waiting requests."""
 
 import threading
 import time
@@ -24,16 +24,17 @@
 
 __all__ = ["Dispatcher", "Ticket"]
 
-# Asked for at every endpoint beyond what is needed now, so that the next request
+# Slots requested at every endpoint beyond those needed now, so that the next request
 # finds a slot without waiting for a round trip to the steward.
 SPARE_SLOTS = 1
 
-# A strategy that asks to be woken in the past must not spin the thread.
-SHORTEST_PAUSE_SECONDS = 0.005
+# Shortest wait between two polls, in seconds. Without it a strategy whose next wake
+# time has already passed would keep the thread in a busy loop.
+MIN_POLL_INTERVAL_SECONDS = 0.005
 
 
 class Ticket:
-    """A request's place in the scheduler; its thread waits here for a decision."""
+    """A queued request, on which the request's thread waits for a decision."""
 
     def __init__(self, work: Work):
         self.work = work
@@ -41,7 +42,7 @@
         self._decision: Send | Refused | None = None
 
     def decide(self, decision: Send | Refused) -> None:
-        """Hand over the decision and wake the waiting thread."""
+        """Set the decision and wake the waiting thread."""
         self._decision = decision
         self._decided.set()
 
@@ -53,11 +54,11 @@
 
     @property
     def is_decided(self) -> bool:
-        """Whether a decision waits to be read."""
+        """Whether a decision has been made since the last `reset`."""
         return self._decided.is_set()
 
-    def renew(self) -> None:
-        """Forget the last decision: another attempt will be made."""
+    def reset(self) -> None:
+        """Clear the last decision, before another attempt."""
         self._decided.clear()
         self._decision = None
 
@@ -65,9 +66,9 @@
 class Dispatcher:
     """Serialises access to a `Strategy` and wakes requests when it decides.
 
-    Every public method takes the lock for the length of one decision and never
-    waits for a network while it holds it. ``demand_rose`` is told, without the lock,
-    that a request waits for a slot.
+    Every public method holds the lock for the length of one decision and makes no
+    network call meanwhile. ``demand_rose`` is called, without the lock, when a
+    request has to wait for a slot.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
         self._endpoint_by_work: dict[str, str] = {}
         self._completed_by_endpoint: Counter[str] = Counter()
         self._endpoint_ids: tuple[str, ...] = ()
-        self._wakes = threading.Condition(self._lock)
+        self._poll_needed = threading.Condition(self._lock)
         self._stopped = False
         self._thread = threading.Thread(
             target=self._poll_when_due, name="dispatcher", daemon=True
@@ -98,7 +99,7 @@
         """Stop polling; requests that still wait keep their own deadlines."""
         with self._lock:
             self._stopped = True
-            self._wakes.notify()
+            self._poll_needed.notify()
         self._thread.join()
 
     @property
@@ -108,19 +109,20 @@
             return frozenset(self._tickets_by_work)
 
     def usage(self) -> dict[str, Usage]:
-        """Return what this daemon does with each endpoint now, for the stewards.
+        """Return this daemon's use of each endpoint and its demand, for the stewards.
 
-        What is queued wants a slot at any endpoint that serves it; asking for an
-        equal part everywhere keeps the sum of the wishes at what is really needed.
+        A queued request needs one slot at any endpoint that serves it. The number of
+        queued requests is therefore divided evenly over the endpoints, so that the
+        slots asked for add up to those needed, apart from `SPARE_SLOTS`.
         """
         with self._lock:
             in_use = Counter(self._endpoint_by_work.values())
             queued = len(self._tickets_by_work) - len(self._endpoint_by_work)
             n_endpoints = max(1, len(self._endpoint_ids))
-            wished = ceil(queued / n_endpoints) + SPARE_SLOTS
+            wanted_each = ceil(queued / n_endpoints) + SPARE_SLOTS
             return {
                 endpoint_id: Usage(
-                    wanted=in_use[endpoint_id] + wished,
+                    wanted=in_use[endpoint_id] + wanted_each,
                     in_use=in_use[endpoint_id],
                     completed=self._completed_by_endpoint[endpoint_id],
                 )
@@ -128,7 +130,7 @@
             }
 
     def submit(self, work: Work) -> Ticket | Refused:
-        """Offer work to the strategy; a `Ticket` means that it is queued."""
+        """Offer work to the strategy; return a `Ticket` if it is queued."""
         with self._lock:
             now = self._clock()
             answer = self._strategy.offer(work, now)
@@ -138,20 +140,20 @@
             self._tickets_by_work[work.work_id] = ticket
             self._poll(now)
         if not ticket.is_decided:
-            # Stewards are asked at their next turn; a first request should not
-            # wait for that.
+            # Demand is otherwise sent to the stewards at the next regular round, for
+            # which the first request for an endpoint should not have to wait.
             self._demand_rose()
         return ticket
 
     def first_token(self, work_id: str) -> None:
-        """Note the first token of sent work; its endpoint may now take the next."""
+        """Record the first token of sent work; its endpoint may now get the next."""
         self._change(lambda now: self._strategy.first_token(work_id, now))
 
     def finished(self, ticket: Ticket, result: SendResult) -> Settled | Retry | Refused:
-        """Note the end of an attempt; on `Retry` wait on the ticket again."""
+        """Record the end of an attempt; after `Retry`, wait on the ticket again."""
         with self._lock:
             now = self._clock()
-            ticket.renew()
+            ticket.reset()
             self._endpoint_by_work.pop(ticket.work.work_id, None)
             if result.succeeded:
                 self._completed_by_endpoint[result.endpoint_id] += 1
@@ -162,7 +164,7 @@
             return answer
 
     def withdraw(self, work_id: str) -> None:
-        """Forget work whose request has ended without a result."""
+        """Remove work whose request has ended without a result."""
         with self._lock:
             now = self._clock()
             self._endpoint_by_work.pop(work_id, None)
@@ -180,15 +182,15 @@
         self._change(lambda now: self._strategy.set_targets(targets_by_class))
 
     def set_domains_out(self, domains: frozenset[str]) -> None:
-        """Replace the failure domains that take no new work."""
+        """Replace the failure domains that get no new work."""
         self._change(lambda now: self._strategy.set_domains_out(domains, now))
 
     def set_shares(self, shares_by_endpoint: Mapping[str, Share]) -> None:
-        """Replace what this daemon may use of each endpoint."""
+        """Replace this daemon's share of each endpoint."""
         self._change(lambda now: self._strategy.set_shares(shares_by_endpoint, now))
 
     def report_load(self, load: EndpointLoad) -> None:
-        """Take one load report."""
+        """Record one load report."""
         self._change(lambda now: self._strategy.report_load(load, now))
 
     def _change(self, change: Callable[[float], None]) -> None:
@@ -198,7 +200,7 @@
             self._poll(now)
 
     def _poll(self, now: float) -> None:
-        """Hand out decisions; the lock is held."""
+        """Pass the strategy's decisions to the tickets; the caller holds the lock."""
         for action in self._strategy.poll(now):
             if isinstance(action, GiveUp):
                 ticket = self._tickets_by_work.pop(action.work_id, None)
@@ -210,7 +212,7 @@
                     self._endpoint_by_work[action.work_id] = action.endpoint_ids[0]
             if ticket is not None:
                 ticket.decide(decision)
-        self._wakes.notify()
+        self._poll_needed.notify()
 
     def _poll_when_due(self) -> None:
         with self._lock:
@@ -220,9 +222,9 @@
                 if wake_at is not None and wake_at <= now:
                     self._poll(now)
                     wake_at = self._strategy.next_wake(now)
-                self._wakes.wait(self._pause(wake_at, now))
+                self._poll_needed.wait(self._wait_seconds(wake_at, now))
 
-    def _pause(self, wake_at: float | None, now: float) -> float | None:
+    def _wait_seconds(self, wake_at: float | None, now: float) -> float | None:
         if wake_at is None:
             return None
-        return max(SHORTEST_PAUSE_SECONDS, wake_at - now)
+        return max(MIN_POLL_INTERVAL_SECONDS, wake_at - now)
