--- a/cranberrywick/http_server.py
+++ b/cranberrywick/http_server.py
@@ -1,4 +1,4 @@
-"""Waitress on a thread of its own, with a stop that cuts no request."""
+"""Waitress on its own thread, with a stop that cuts no request."""
 
 import threading
 import time
@@ -10,16 +10,19 @@
 
 __all__ = ["HttpServer"]
 
+# Longest wait of one turn of the event loop, in seconds.
 POLL_SECONDS = 1.0
+# Interval between checks for running requests during a drain, in seconds.
 IDLE_CHECK_SECONDS = 0.05
 
 
 class HttpServer:
     """Serves one WSGI application until it is stopped.
 
-    Waitress's own `run` ends its application threads as soon as it is told to
-    stop, which cuts the streams that they are writing. Here the loop belongs to
-    us: the listener closes first, the loop goes on until no request is left.
+    Waitress's own `run` ends its application threads as soon as it has to stop,
+    which cuts the streams that they are writing. This class runs the event loop
+    itself instead: `stop_accepting` closes the listener, `wait_until_idle` waits for
+    the running requests, and `stop` ends the loop.
     """
 
     def __init__(self, application: Callable, listen: str, threads: int):
@@ -29,11 +32,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as ``ip:port``."""
+        """The address on which the server listens, as ``ip:port``."""
         return f"{self._server.effective_host}:{self._server.effective_port}"
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start the thread that serves requests."""
         self._thread.start()
 
     def _run(self) -> None:
@@ -43,9 +46,9 @@
             )
 
     def stop_accepting(self) -> None:
-        """Close the listener; connections that are open stay."""
-        # Done on a polling turn of the loop's own thread: closing the socket under
-        # a running poll would leave a stale descriptor in it.
+        """Close the listener; open connections stay open."""
+        # The loop's own thread closes the socket, between two polls: closed during
+        # a poll, it would leave a stale descriptor in the poll set.
         closed = threading.Event()
 
         def close_listener() -> None:
@@ -57,7 +60,7 @@
         closed.wait(2 * POLL_SECONDS)
 
     def wait_until_idle(self, seconds: float) -> bool:
-        """Wait for the running requests to end; False if some are left."""
+        """Wait at most ``seconds`` for running requests; return whether all ended."""
         deadline = time.monotonic() + seconds
         while self._n_running:
             if time.monotonic() >= deadline:
