--- a/cranberrywick/http_limits.py
+++ b/cranberrywick/http_limits.py
@@ -1,8 +1,8 @@
-"""The HTTP front's limits and the server that keeps them.
+"""The limits of the HTTP front and the server that enforces them.
 
-The figures are for one of 320 daemons that together take 5,400 requests and
-generate 2.1 million tokens a second: 17 requests and 6,600 tokens a second each.
-docs/design/relay.md works them out.
+The figures are for one of 320 daemons that together receive 5,400 requests and relay
+2.1 million tokens a second: 17 requests and 6,600 tokens a second each.
+docs/design/relay.md derives them.
 """
 
 import socket
@@ -16,38 +16,41 @@
 KIB = 1024
 MIB = 1024 * KIB
 
-# A million tokens are about 4 MB of English text; JSON's escapes and scripts
-# outside ASCII take up to four times that.
+# Largest request body, in bytes. A million tokens are about 4 MB of English text;
+# JSON escapes and scripts outside ASCII take up to four times as much.
 MAX_BODY_BYTES = 16 * MIB
 
-# What the kernel may hold for a caller that does not read.  Without it the kernel
-# grows the buffer to several megabytes, and a caller that reads one byte a second
-# is noticed only after minutes.
+# Size of a connection's send buffer in the kernel, in bytes. Without this limit the
+# kernel grows the buffer to several megabytes, and a caller that reads one byte a
+# second is detected only after minutes.
 SEND_BUFFER_BYTES = 64 * KIB
 
 # Keyword arguments of `waitress.server.create_server`.
 WAITRESS_SETTINGS: dict[str, Any] = {
-    # One thread for each request from its first to its last byte: 6,600 tokens a
-    # second at one each 61 ms are 400 streams; a tenth more when one of ten
-    # failure domains is out; some 50 wait for a first token; a third in reserve.
+    # Each request occupies one thread from its first to its last byte. 6,600 tokens
+    # a second, one every 61 ms in each stream, are 400 streams. A tenth is added for
+    # the loss of one of ten failure domains, about 50 threads for requests that wait
+    # for a first token, and a third in reserve.
     "threads": 640,
-    # The threads' connections, and those kept open between requests: 17 a second
-    # for `channel_timeout` seconds; the rest is for callers that connect and wait.
+    # One connection for each thread, connections kept open between requests (17 a
+    # second for `channel_timeout` seconds), and the rest for callers that connect
+    # and send nothing yet.
     "connection_limit": 2000,
     "channel_timeout": 30,
     "backlog": 1024,
     "max_request_body_size": MAX_BODY_BYTES,
-    # A body beyond this goes to a temporary file, which on a diskless VM is memory
-    # under another name.  No body is: the limit above is lower.
+    # Waitress writes a larger body to a temporary file, which on a diskless VM takes
+    # up memory too. No body reaches this size: `max_request_body_size` is lower.
     "inbuf_overflow": MAX_BODY_BYTES + 1,
-    # At the watermark a write blocks its thread until the caller reads.  Plain
-    # answers stay below it; streams are stopped long before, by the relay.
+    # From this many unsent bytes on, a write blocks its thread until the caller
+    # reads. Answers that are not streamed stay below it, and the relay stops a
+    # stream whose caller does not read long before.
     "outbuf_high_watermark": 16 * MIB,
     "outbuf_overflow": 64 * MIB,
-    # With 0 a connection is not read while its request runs, and a caller that
-    # hangs up is never noticed.
+    # With 0, a connection is not read while its request runs, and a caller's
+    # disconnection is never detected.
     "channel_request_lookahead": 1,
-    # select() can't watch descriptors above 1,023.
+    # select() can't handle descriptors above 1,023.
     "asyncore_use_poll": True,
     "ident": None,
     "expose_tracebacks": False,
@@ -55,7 +58,9 @@
 
 
 def create_front(application: Callable, listen: str, **overrides: Any):
-    """Return a waitress server for a WSGI application that keeps these limits.
+    """Return a waitress server that runs a WSGI application with these limits.
+
+    ``listen`` is ``ip:port``; ``overrides`` replace entries of `WAITRESS_SETTINGS`.
 
     >>> server = create_front(application, "127.0.0.1:0", threads=20)
     >>> server.effective_port
@@ -64,6 +69,6 @@
     server = create_server(
         application, listen=listen, **{**WAITRESS_SETTINGS, **overrides}
     )
-    # Accepted connections inherit it from the listener.
+    # Accepted connections inherit the buffer size from the listener.
     server.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     return server
