--- a/cranberrywick/timers.py
+++ b/cranberrywick/timers.py
@@ -1,12 +1,12 @@
-"""A timer service that parts of the program subscribe to.
+"""A timer service that runs callbacks once or at intervals.
 
 >>> timers = TimerService()
 >>> heartbeat = timers.every(1.0, send_heartbeat, jitter=0.1)
 >>> timers.start()
 >>> heartbeat.cancel()
 
-One thread runs every callback in turn, so a callback must be short: it changes a
-value or tells an actor, and never waits for the network.
+One thread runs all callbacks, one after another, so a callback must be short: it
+changes a value or sends a message to an actor, and never waits for the network.
 """
 
 import heapq
@@ -20,14 +20,15 @@
 
 __all__ = ["Subscription", "TimerService"]
 
-# A callback that takes longer is logged, for it makes all the others late.
+# Longest duration of a callback, in seconds, that is not logged as slow. A slow one
+# delays all the others.
 SLOW_CALLBACK_SECONDS = 0.1
 
 _log = EventLog(part="timers")
 
 
 class Subscription:
-    """One callback's place in the service; `cancel` gives it up."""
+    """A scheduled callback, which `cancel` removes from the schedule."""
 
     def __init__(
         self, callback: Callable[[], None], interval: float | None, jitter: float
@@ -43,17 +44,17 @@
         return self._cancelled
 
     def cancel(self) -> None:
-        """Start the callback no more; one that is running now still ends."""
+        """Prevent further runs of the callback; a run in progress is completed."""
         self._cancelled = True
 
 
 class TimerService:
-    """Runs callbacks at times on a monotonic clock.
+    """Runs callbacks at the times for which they are scheduled.
 
-    A monotonic clock, because the wall clock is set back and forth by others: a
-    lease would seem to last for hours or to have lapsed at once.
+    The clock is monotonic, because the wall clock can be set forward or back at any
+    time: a lease would then seem to last for hours or to have lapsed at once.
 
-    Tests give a ``clock`` of their own and call `run_due` in place of `start`.
+    Tests pass their own ``clock`` and call `run_due` instead of `start`.
     """
 
     def __init__(
@@ -71,12 +72,12 @@
     def every(
         self, seconds: float, callback: Callable[[], None], jitter: float = 0.0
     ) -> Subscription:
-        """Run ``callback`` each ``seconds``, first after one such interval.
+        """Run ``callback`` every ``seconds``, for the first time after one interval.
 
         ``jitter`` is the largest share, below 1, by which an interval is made
-        shorter or longer at random. Daemons that start together would otherwise
-        call the platform in step for ever. Raises ValueError for an interval that
-        is not positive.
+        shorter or longer at random. Without it, daemons that start together would
+        always call the platform at the same moments. Raises ValueError if the
+        interval is not positive or the jitter is not from 0 to below 1.
         """
         if seconds <= 0 or not 0 <= jitter < 1:
             raise ValueError("the interval must be positive and the jitter below 1")
@@ -105,9 +106,9 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Start no further callback, and wait for one that is running.
+        """Start no further callback and wait for the one in progress.
 
-        A callback may call this; then there is nothing to wait for.
+        A callback may call this; then it returns without waiting.
         """
         with self._changed:
             self._stopping = True
@@ -116,7 +117,7 @@
             self._thread.join()
 
     def run_due(self, now: float) -> float | None:
-        """Run what is due at ``now`` and return when the next callback is due."""
+        """Run the callbacks due at ``now``; return the time of the next, or None."""
         while (subscription := self._pop_due(now)) is not None:
             self._call(subscription)
         with self._changed:
@@ -137,9 +138,9 @@
     ) -> None:
         if subscription._interval is None:
             return
-        # After a pause (SIGSTOP, a starved VM) the missed runs are left out. Run
-        # one after another they would be a burst of heartbeats and platform calls
-        # that says nothing new.
+        # After a pause of the process (SIGSTOP, a VM without CPU time) the missed
+        # runs are skipped. Made up for, they would be a burst of heartbeats and
+        # platform calls without new content.
         interval = self._next_interval(subscription)
         next_due = due + interval if due + interval > now else now + interval
         heapq.heappush(self._heap, (next_due, next(self._order), subscription))
@@ -149,8 +150,8 @@
         try:
             subscription._callback()
         except Exception as error:
-            # One part's fault would otherwise end the thread, and with it every
-            # heartbeat and deadline of the daemon, without a word.
+            # An uncaught exception would end the thread without a log line, and with
+            # it every heartbeat and deadline of the daemon.
             _log.error(
                 "timer_callback_failed", callback=_name_of(subscription), error=error
             )
@@ -166,11 +167,12 @@
             with self._changed:
                 if self._stopping:
                     return
-                if not self._has_earlier(next_due):
+                if not self._has_changed_since(next_due):
                     self._changed.wait(self._seconds_until(next_due))
 
-    def _has_earlier(self, next_due: float | None) -> bool:
-        # A subscription added between `run_due` and the wait must not be slept over.
+    def _has_changed_since(self, next_due: float | None) -> bool:
+        # True if a subscription was added after `run_due` returned; the thread must
+        # then not wait until the time that it returned.
         return bool(self._heap) and self._heap[0][0] != next_due
 
     def _seconds_until(self, due: float | None) -> float | None:
