--- a/cranberrywick/token_bucket.py
+++ b/cranberrywick/token_bucket.py
@@ -1,10 +1,13 @@
-"""A rate with bursts, as plain computation: the time is an argument."""
+"""A token bucket without a clock or waiting: each method is given the time."""
 
 __all__ = ["TokenBucket"]
 
 
 class TokenBucket:
-    """Lets through ``rate`` calls a second, and a burst after a quiet time.
+    """Limits calls to ``rate`` a second, with up to ``burst`` calls at once.
+
+    ``now`` is a time in seconds, always on the same clock. The number of tokens may be
+    negative: then that many calls have been taken and still have to wait.
 
     >>> bucket = TokenBucket(rate=2.0, burst=1.0, now=0.0)
     >>> bucket.take(0.0), bucket.take(0.0)
@@ -15,40 +18,40 @@
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._filled_at = now
+        self._refilled_at = now
 
     def set_rate(self, rate: float, burst: float, now: float) -> None:
-        """Go on at another rate."""
-        self._fill(now)
+        """Change the rate, in calls a second, and the burst."""
+        self._refill(now)
         self._rate = rate
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def empty(self, now: float) -> None:
-        """Drop what a quiet time has saved up."""
+        """Keep at most one token, so that no burst can follow."""
         self._tokens = min(self._tokens, 1.0)
-        self._filled_at = now
+        self._refilled_at = now
 
     def take(self, now: float) -> float:
-        """Take one call and return the seconds to wait before it is made."""
-        self._fill(now)
+        """Take one token and return the seconds to wait before the call is made."""
+        self._refill(now)
         self._tokens -= 1.0
         return max(0.0, -self._tokens / self._rate)
 
     def wait_seconds(self, now: float) -> float:
-        """Return how long the next call would have to wait."""
-        self._fill(now)
+        """Return the seconds that the next call would have to wait."""
+        self._refill(now)
         return max(0.0, (1.0 - self._tokens) / self._rate)
 
     def cancel_waiting(self) -> None:
-        """Undo the calls that still have to wait."""
+        """Undo the `take` of every call that still has to wait."""
         self._tokens = max(0.0, self._tokens)
 
     def refund(self) -> None:
-        """Undo a `take` whose call is not made after all."""
+        """Undo one `take` whose call will not be made."""
         self._tokens += 1.0
 
-    def _fill(self, now: float) -> None:
-        earned = max(0.0, now - self._filled_at) * self._rate
-        self._tokens = min(self._burst, self._tokens + earned)
-        self._filled_at = now
+    def _refill(self, now: float) -> None:
+        added = max(0.0, now - self._refilled_at) * self._rate
+        self._tokens = min(self._burst, self._tokens + added)
+        self._refilled_at = now
