--- a/cranberrywick/__init__.py
+++ b/cranberrywick/__init__.py
@@ -1,3 +1,3 @@
-"""A serving layer for language-model prompts of very unlike lengths."""
+"""A serving layer for language-model prompts whose lengths differ widely."""
 
 __version__ = "0.1.0"
--- a/cranberrywick/rendezvous.py
+++ b/cranberrywick/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: daemons that know the same ids make the same choice.
+"""Rendezvous hashing: daemons with the same set of ids make the same choice.
 
-An id that goes moves only what it was chosen for.
+When an id is removed, only the keys for which it was chosen get another one.
 """
 
 import hashlib
@@ -11,7 +11,7 @@
 
 
 def rendezvous_order(key: str, ids: Iterable[str]) -> list[str]:
-    """Return ids in an order that depends on the key and is the same everywhere.
+    """Return ids in an order that depends only on the key and the ids.
 
     >>> rendezvous_order("engine-1", ["d1", "d2", "d3"])
     ['d3', 'd2', 'd1']
