--- a/cranberrywick/errors.py
+++ b/cranberrywick/errors.py
@@ -1,7 +1,7 @@
-"""Failures that a caller, an operator or a peer can be told about.
+"""Exceptions that are reported to callers, operators and peers.
 
-Each failure is a class with a stable ``type`` for the wire, an HTTP status, and
-whether the request ran. Raise them; the HTTP front renders them.
+Each class has a stable ``type`` for the wire, an HTTP status, and a statement of
+whether the request ran. The HTTP front renders a raised exception as a response.
 """
 
 from typing import TypedDict
@@ -40,7 +40,7 @@
 
 
 class ErrorBody(TypedDict):
-    """The JSON object under ``error`` in every error answer."""
+    """The JSON object under the key ``error`` of every error response."""
 
     type: str
     message: str
@@ -49,10 +49,10 @@
 
 
 class CranberrywickError(Exception):
-    """The base of every failure; subclasses set the class attributes.
+    """The base class of these exceptions; subclasses set the class attributes.
 
-    ``executed`` may be narrowed for one instance, and ``retry_after`` (seconds)
-    is sent as ``Retry-After`` when it is set.
+    An instance may override ``executed``, when it has better knowledge of whether the
+    request ran. ``retry_after``, in seconds, is sent as ``Retry-After`` if it is set.
 
     >>> Overloaded("queue is longer than the target", retry_after=2.0).status
     429
@@ -61,7 +61,7 @@
     type = "internal_error"
     status = 500
     executed = Executed.UNKNOWN
-    # Told to callers in place of a message that names what is inside the fleet.
+    # Sent to callers instead of a message that holds internals of the fleet.
     public_message: str | None = None
 
     def __init__(
@@ -78,7 +78,7 @@
             self.executed = executed
 
     def body(self, request_id: str) -> ErrorBody:
-        """Return the wire form of this failure."""
+        """Return the error as the JSON object that is sent to the caller."""
         return ErrorBody(
             type=self.type,
             message=self.public_message or self.message,
@@ -96,20 +96,20 @@
 
 
 class PayloadTooLarge(InvalidRequest):
-    """The body is larger than the daemon takes."""
+    """The body is larger than the daemon accepts."""
 
     type = "payload_too_large"
     status = 413
 
 
 class PromptTooLong(InvalidRequest):
-    """The prompt and its answer do not fit the model's context window."""
+    """The prompt and its answer do not fit into the model's context window."""
 
     type = "prompt_too_long"
 
 
 class MissingIdempotencyKey(InvalidRequest):
-    """A call that may not run twice came without ``Idempotency-Key``."""
+    """A call that must not run twice was made without ``Idempotency-Key``."""
 
     type = "missing_idempotency_key"
 
@@ -129,21 +129,21 @@
 
 
 class NotFound(InvalidRequest):
-    """No such path."""
+    """There is no such path, or the path does not support the method."""
 
     type = "not_found"
     status = 404
 
 
 class UnknownModel(InvalidRequest):
-    """No such model or class of work."""
+    """There is no such model or class of work."""
 
     type = "unknown_model"
     status = 404
 
 
 class UnknownService(InvalidRequest):
-    """No such plain service, or it has no such call."""
+    """There is no such plain service, or the service has no such call."""
 
     type = "unknown_service"
     status = 404
@@ -158,7 +158,7 @@
 
 
 class Draining(CranberrywickError):
-    """This daemon is stopping; another entry address takes the request."""
+    """This daemon is stopping; the request can be sent to another entry."""
 
     type = "draining"
     status = 503
@@ -175,10 +175,10 @@
 
 
 class EndpointRefused(CranberrywickError):
-    """The endpoint did not take the request; ``reason`` says why.
+    """The endpoint refused the request; ``reason`` says why.
 
-    ``at_fault`` is the address of another endpoint for whose fault it refused, such as
-    a helper that leaves; None if it speaks for itself.
+    ``at_fault`` is the address of another endpoint that is the cause of the refusal,
+    such as a helper that leaves, and None if the endpoint itself is the cause.
     """
 
     type = "endpoint_refused"
@@ -199,7 +199,7 @@
 
 
 class EntryUnreachable(CranberrywickError):
-    """A caller or operator could not connect to an entry; nothing was sent."""
+    """A caller or operator could not connect to an entry, so nothing was sent."""
 
     type = "entry_unreachable"
     status = 503
@@ -207,14 +207,14 @@
 
 
 class StillRunning(CranberrywickError):
-    """The same non-idempotent call is in progress; ask again for its answer."""
+    """The same non-idempotent call is in progress; a later call gets its answer."""
 
     type = "still_running"
     status = 409
 
 
 class TimedOut(CranberrywickError):
-    """The class's completion time passed after the request was sent."""
+    """The request was sent, and then the completion time of its class passed."""
 
     type = "timed_out"
     status = 504
@@ -228,16 +228,17 @@
 
 
 class AnswerLost(CranberrywickError):
-    """The answer broke off or belonged to another request."""
+    """The answer was cut short or belonged to another request."""
 
     type = "answer_lost"
     status = 502
 
 
 class EndpointFailed(AnswerLost):
-    """The endpoint ran the request and answered with a failure of its own.
+    """The endpoint ran the request and answered with an error.
 
-    ``answer`` is that whole answer, for the caller if no other endpoint is asked.
+    ``answer`` is that whole answer, which the caller receives if no other endpoint is
+    tried.
     """
 
     type = "endpoint_failed"
@@ -249,21 +250,21 @@
 
 
 class CallerGone(CranberrywickError):
-    """The caller hung up, or reads so slowly that its answer was stopped."""
+    """The caller disconnected, or read so slowly that its answer was stopped."""
 
     type = "caller_gone"
     status = 499
 
 
 class OutcomeUnknown(CranberrywickError):
-    """The call was claimed before and its outcome was never recorded."""
+    """The call was claimed earlier, and its outcome was never recorded."""
 
     type = "outcome_unknown"
     status = 409
 
 
 class VersionConflict(CranberrywickError):
-    """Another operator changed the configuration first."""
+    """The configuration was changed in between by another operator."""
 
     type = "version_conflict"
     status = 409
@@ -271,7 +272,7 @@
 
 
 class InvalidConfiguration(CranberrywickError):
-    """The configuration document breaks a rule; the message names the path."""
+    """The configuration document is invalid; the message names the path in it."""
 
     type = "invalid_configuration"
     status = 400
@@ -279,7 +280,7 @@
 
 
 class InvalidSettings(InvalidConfiguration):
-    """The daemon's settings file breaks a rule."""
+    """The daemon's settings file is invalid."""
 
     type = "invalid_settings"
 
