--- a/cranberrywick/front.py
+++ b/cranberrywick/front.py
@@ -1,4 +1,4 @@
-"""The HTTP front: a WSGI application over the filter chains."""
+"""The HTTP front: a WSGI application that passes requests to the filter chains."""
 
 import json
 import time
@@ -25,8 +25,8 @@
 
 __all__ = ["Front", "status_line"]
 
-# Phrases that the standard library lacks (499: the caller hung up) or that differ
-# between its versions.
+# Reason phrases that the standard library lacks (499, for a caller that disconnected)
+# or that differ between its versions.
 PHRASES_BY_CODE = {
     413: "Content Too Large",
     422: "Unprocessable Content",
@@ -35,16 +35,17 @@
 
 JSON_TYPE = "application/json"
 
-# Until a daemon has a configuration it serves nobody; another entry may have one.
+# ``Retry-After``, in seconds, of a daemon that has no configuration yet and therefore
+# serves nobody. Another entry may have one already.
 NOT_READY_RETRY_SECONDS = 1.0
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
 
 def status_line(code: int) -> str:
-    """Return a status code with its usual phrase.
+    """Return the status line of a code: the code and its reason phrase.
 
-    A plain service may answer any code, also one that nobody has named.
+    A plain service may answer with any code; one without a phrase is "Unnamed".
 
     >>> status_line(403)
     '403 Forbidden'
@@ -59,10 +60,11 @@
 class Front:
     """The WSGI application of one daemon.
 
-    ``configuration`` returns the configuration in force or None; ``entries``
-    answers an organisation's ``GET /v1/entries``; ``readiness`` says whether
-    callers should be sent here and the configuration's version; ``closed`` says that
-    the daemon takes no new request at all.
+    ``configuration`` returns the configuration in force or None; ``entries`` returns
+    the answer to an organisation's ``GET /v1/entries``; ``readiness`` returns whether
+    callers should be sent to this daemon, with the version of its configuration;
+    ``metrics_text`` and ``burn`` return the metrics and the burn report; ``closed``
+    returns whether every new request is to be refused.
     """
 
     def __init__(
@@ -94,7 +96,7 @@
     def __call__(
         self, environ: Mapping[str, object], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Serve one request."""
+        """Serve one request, as WSGI calls an application."""
         request_id = uuid4().hex
 
         def begin(status: int, headers: list[tuple[str, str]]) -> Write:
@@ -111,7 +113,7 @@
     def _answer(
         self, environ: Mapping[str, object], request_id: str, caller: CallerStream
     ) -> Response:
-        """Return the response; a failure after the first bytes becomes an event."""
+        """Return the response; an error in a stream is sent as a last event."""
         try:
             return self._route(environ, request_id, caller)
         except CranberrywickError as error:
@@ -130,8 +132,8 @@
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
         if self._closed():
-            # Its listener is closed; only a connection kept open leads here. A
-            # client that goes on using one would hold up the stop without end.
+            # The listener is closed, so the request came over a connection kept open.
+            # A client that went on using it would prevent the daemon from stopping.
             raise Draining("use another entry", retry_after=0.0)
         if path == "/v1/chat/completions" and method == "POST":
             exchange = self._exchange(environ, request_id, caller)
@@ -140,7 +142,7 @@
             exchange = self._exchange(environ, request_id, caller)
             return self._services.run(exchange)
         if path.startswith(OPERATOR_PREFIX):
-            return self._operate(environ, request_id)
+            return self._answer_operator(environ, request_id)
         if method == "GET":
             return self._get(path, environ)
         raise NotFound(f"no call {method} {path}")
@@ -173,7 +175,9 @@
         ]
         return {"object": "list", "data": models}
 
-    def _operate(self, environ: Mapping[str, object], request_id: str) -> Response:
+    def _answer_operator(
+        self, environ: Mapping[str, object], request_id: str
+    ) -> Response:
         operator = self._operator.authorise(environ.get("HTTP_AUTHORIZATION"))
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
@@ -226,23 +230,24 @@
         )
         response = _json_response(error.status, {"error": error.body(request_id)})
         if error.retry_after is not None:
-            # Whole seconds, rounded up: coming back early finds the queue as full.
+            # Whole seconds, rounded up: a caller that retries too early would find
+            # the queue as full as before.
             retry_after = str(max(1, ceil(error.retry_after)))
             response.headers.append(("Retry-After", retry_after))
         return response
 
 
 def _write_error_event(caller: CallerStream, body: bytes) -> None:
-    """End a stream that has begun with an event that tells of its failure.
+    """End a stream with an event that holds the error.
 
-    The status line has gone out by then. Without the event a failure in mid-stream
-    would look like a short answer to a client that does not wait for ``[DONE]``.
+    The status line has been sent by then. Without the event, a client that does not
+    check for ``[DONE]`` would mistake the failed stream for a short answer.
     """
     try:
         caller.write(b"event: error\ndata: " + body.strip() + b"\n\n")
     except Exception:
-        # The caller has gone, which is a common cause of the failure itself; the
-        # server's own exception for that is private to it.
+        # The caller has disconnected, often the cause of the error itself. The
+        # server's exception for it is private, so that it can't be caught by name.
         return
 
 
