--- a/cranberrywick/logs.py
+++ b/cranberrywick/logs.py
@@ -4,7 +4,8 @@
 
 writes ``time=… level=info event=request_finished request_id=r-1
 class_name=grants``. Values with blanks, quotes or control characters are quoted
-as in JSON, so that a line is always one event and a caller cannot forge a second.
+as in JSON. A line is therefore always one event, and text from a caller that holds a
+line break cannot forge a second one.
 """
 
 import json
@@ -22,28 +23,30 @@
 
 __all__ = ["EventLog", "id_lists", "log_event", "make_handler", "set_up_logs"]
 
-# Longer values are cut: a caller's input can be megabytes.
+# Longest value in a line, in characters. Longer ones are cut, since a value may come
+# from a caller's input of megabytes.
 MAX_VALUE_CHARACTERS = 400
-# Ids of some ten to twenty characters that such a value holds.
-IDS_IN_LINE = 20
-# Innermost stack frames named in an error's line.
+# Number of ids joined in one value, which fit for ids of about ten to twenty
+# characters.
+IDS_PER_VALUE = 20
+# Number of innermost stack frames that an error's line names.
 MAX_FRAMES = 3
 
 REDACTED = "[redacted]"
-# Words of a field's name that mark its value as secret. "tokens" and
-# "first_token_seconds" are counts and times, so "token" alone is not listed.
+# Words in a field's name that mark its value as secret. "token" is not among them:
+# "tokens" and "first_token_seconds" are counts and times.
 SECRET_WORDS = frozenset(
     {"key", "keys", "secret", "password", "authorization", "authorisation", "cookie"}
 )
-# A key that arrives inside another value, such as an exception's text.
+# A key within another value, such as an exception's text.
 SECRET_VALUE = re.compile(r"(?i)\b(bearer|basic)\s+[^\s\"',;]+")
 PLAIN_VALUE = re.compile(r"[^\s\"'=\\\x00-\x1f\x7f]+")
 
 
 class EventLog:
-    """Writes events that all carry the same leading fields.
+    """Writes events that all begin with the same fields.
 
-    Several daemons can run in one process, so each makes its own:
+    Several daemons can run in one process, so each creates its own:
 
     >>> log = EventLog(daemon="e1")
     >>> log.warning("peer_silent", peer="e2", seconds=3.2)
@@ -54,19 +57,19 @@
         self._logger = logbook.Logger("cranberrywick")
 
     def debug(self, event: str, /, **fields: object) -> None:
-        """Log what only a developer asks for."""
+        """Log an event that only developers need."""
         self._log(logbook.DEBUG, event, fields)
 
     def info(self, event: str, /, **fields: object) -> None:
-        """Log the ordinary course of things."""
+        """Log an event of normal operation."""
         self._log(logbook.INFO, event, fields)
 
     def warning(self, event: str, /, **fields: object) -> None:
-        """Log what the daemon dealt with and an operator may want to see."""
+        """Log a problem that the daemon handled, for operators to see."""
         self._log(logbook.WARNING, event, fields)
 
     def error(self, event: str, /, **fields: object) -> None:
-        """Log what the daemon could not deal with."""
+        """Log a problem that the daemon could not handle."""
         self._log(logbook.ERROR, event, fields)
 
     def _log(self, level: int, event: str, fields: Mapping[str, object]) -> None:
@@ -75,13 +78,15 @@
 
 
 def id_lists(ids: Sequence[str]) -> Iterator[str]:
-    """Return ids as values of as few lines as hold them, to be found by any id.
+    """Yield the ids as comma-separated values, each short enough for one log line.
+
+    No value is cut, so that a search of the log for any of the ids finds its line.
 
     >>> list(id_lists(["e1", "e2"]))
     ['e1,e2']
     """
-    for start in range(0, len(ids), IDS_IN_LINE):
-        yield ",".join(ids[start : start + IDS_IN_LINE])
+    for start in range(0, len(ids), IDS_PER_VALUE):
+        yield ",".join(ids[start : start + IDS_PER_VALUE])
 
 
 _PROCESS_LOG = EventLog()
@@ -95,17 +100,18 @@
 def set_up_logs(level_name: str = "info", stream: TextIO | None = None) -> None:
     """Send this process's logs to ``stream``, by default standard error.
 
-    Warnings of libraries, through the standard library, come out in the same form.
-    Call once for a process, before its threads start. Raises `InvalidSettings`
-    for a level that does not exist.
+    Warnings that libraries log by the standard library's logging are written in the
+    same form. Call once for a process, before its threads start. Raises
+    `InvalidSettings` for a level that does not exist.
     """
     handler = make_handler(level_name, stream or sys.stderr)
-    # Ends the search for a handler: events below the level would otherwise reach
-    # the library's own, which prints them in another form.
+    # Logbook searches for a handler down the stack, and this one ends the search.
+    # Events below the level would otherwise reach the library's default handler,
+    # which prints them in another form.
     logbook.NullHandler().push_application()
     handler.push_application()
-    # Below warnings a library such as urllib3 logs each connection; making those
-    # records would cost time on the request's path even where none is printed.
+    # Below the level of warnings, a library such as urllib3 logs each connection.
+    # Creating those records would cost time in each request even if none is printed.
     redirect_logging(set_root_logger_level=False)
     logging.root.setLevel(logging.WARNING)
 
@@ -113,7 +119,8 @@
 def make_handler(level_name: str, stream: TextIO) -> logbook.Handler:
     """Return a handler that writes events of this level and above to ``stream``.
 
-    Tests bind it for a while; a process calls `set_up_logs`.
+    Tests bind it temporarily; a process calls `set_up_logs` instead. Raises
+    `InvalidSettings` for a level that does not exist.
     """
     try:
         level = logbook.lookup_level(level_name.upper())
