--- a/cranberrywick/metrics.py
+++ b/cranberrywick/metrics.py
@@ -1,14 +1,15 @@
-"""Metrics of one daemon, by OpenTelemetry, as Prometheus text.
+"""Metrics of one daemon, collected by OpenTelemetry and served as Prometheus text.
 
 >>> metrics = Metrics("e1")
 >>> metrics.first_token("grants", prompt_tokens=1_800, seconds=0.4)
 >>> metrics.render().startswith(b"# HELP")
 True
 
-Each daemon makes its own instance with its own registry; nothing is global, for
-several daemons run in one process in the demonstration and the tests. Labels come
-from the operators' configuration or from enumerations. An organisation is never a
-label: thousands of them times every class would be the daemon's largest state.
+Each daemon creates its own instance with its own registry. Nothing is global, since
+several daemons run in one process in the demonstration and the tests. Values of labels
+come from the operators' configuration or from enumerations. An organisation is never a
+label: one time series for each of thousands of organisations and each class would be
+the daemon's largest state.
 """
 
 import threading
@@ -28,19 +29,20 @@
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 
-# Values by the label's value, read when a scrape comes.
-Read = Callable[[], Mapping[str, float]]
+# Returns values by the value of a label; called at each scrape.
+ReadValues = Callable[[], Mapping[str, float]]
 
-# Upper bounds of the prompt-length groups, in tokens. The design size has one
-# prompt in fifty above 100,000, so that is a bound; the others split the rest of
-# the range from a thousand to a million by about a power of ten.
+# Upper bounds of the prompt-length groups, in tokens. At the design size one prompt in
+# fifty is longer than 100,000 tokens, so that is a bound; the others divide the rest
+# of the range from a thousand to a million in steps of about a power of ten.
 PROMPT_LENGTH_BOUNDS = (2_000, 10_000, 100_000, 1_000_000)
 PROMPT_LENGTH_GROUPS = ("to_2k", "to_10k", "to_100k", "to_1m", "over_1m")
 
-# A histogram tells the share of values up to a bound exactly and anything between
-# two bounds by a guess. So the design size's targets are bounds themselves (first
-# token within 1.7 s, 61 ms between tokens); the others grow by half to double, so
-# that a percentile read from them is off by that much at most.
+# Upper bounds of the histograms' buckets, in seconds. A histogram gives the exact share
+# of values up to a bound, and only an estimate between two bounds. The targets of the
+# design size are therefore bounds themselves (first token within 1.7 s, 61 ms between
+# tokens). The others grow by a factor of about 1.5 to 2, so that a percentile read from
+# the buckets is off by no more than that factor.
 FIRST_TOKEN_BOUNDS_SECONDS = (
     *(0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.7, 2.5, 4.0, 8.0),
     *(15.0, 30.0, 60.0, 120.0, 300.0),
@@ -49,7 +51,8 @@
     *(0.005, 0.01, 0.02, 0.03, 0.045, 0.061, 0.08, 0.12),
     *(0.25, 0.5, 1.0, 2.0, 5.0),
 )
-# Waits are bounded by the first-token target, calls by the platform's time-outs.
+# The range of waits follows from the first-token target, that of calls from the
+# platform's time-outs.
 QUEUE_WAIT_BOUNDS_SECONDS = (0.001, 0.01, 0.05, 0.2, 0.5, 1.0, 1.7, 4.0, 15.0, 60.0)
 PLATFORM_CALL_BOUNDS_SECONDS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 2.0, 10.0)
 COMPLETION_BOUNDS_SECONDS = (
@@ -59,7 +62,7 @@
 
 
 def prompt_length_group(prompt_tokens: int) -> str:
-    """Return the label of the group that a prompt of this length belongs to.
+    """Return the label of the group to which a prompt of this length belongs.
 
     >>> prompt_length_group(150_000)
     'to_1m'
@@ -68,11 +71,12 @@
 
 
 class TokenGaps:
-    """The times between one stream's events, counted by size; for one thread.
+    """The gaps between the events of one stream, counted by length.
 
-    The relay adds each gap here and hands the whole to `Metrics.gaps_counted`.
-    One OpenTelemetry record costs some 8 µs, and at the design size a daemon
-    relays thousands of events a second; a list of counts costs a fraction of one.
+    The relay adds each gap and, at the end of the stream, passes the counts to
+    `Metrics.gaps_counted`. Recording a value by OpenTelemetry takes about 8 µs, and at
+    the design size a daemon relays thousands of events a second; adding to a list of
+    counts takes a fraction of that. An instance is used by one thread only.
     """
 
     __slots__ = ("counts", "late", "target_seconds")
@@ -83,19 +87,19 @@
         self.late = 0
 
     def add(self, seconds: float) -> None:
-        """Count one gap."""
+        """Count one gap, whose length is given in seconds."""
         self.counts[bisect_left(TOKEN_GAP_BOUNDS_SECONDS, seconds)] += 1
         if seconds > self.target_seconds:
             self.late += 1
 
     @property
     def total(self) -> int:
-        """How many gaps were counted."""
+        """The number of gaps counted."""
         return sum(self.counts)
 
 
 class Metrics:
-    """What one daemon counts and times; every method may be called by any thread."""
+    """The metrics of one daemon; every method may be called by any thread."""
 
     content_type = CONTENT_TYPE
 
@@ -114,13 +118,13 @@
             ),
             shutdown_on_exit=False,
         )
-        # Guards the counts, which streams add to and a scrape reads.
+        # Guards `_gap_counts_by_class`: streams add to the counts, a scrape reads them.
         self._gaps_lock = threading.Lock()
         self._gap_counts_by_class: dict[str, list[int]] = {}
         self._meter = self._provider.get_meter("cranberrywick")
         self._create_counters()
         self._create_histograms()
-        self._create_observed()
+        self._create_observable_counters()
 
     def _create_counters(self) -> None:
         counter = self._meter.create_counter
@@ -168,9 +172,10 @@
             explicit_bucket_boundaries_advisory=bounds_seconds,
         )
 
-    def _create_observed(self) -> None:
-        # In the form of a histogram's buckets, so that the usual percentile query
-        # works on it: each counts the gaps up to its bound ``le``, in seconds.
+    def _create_observable_counters(self) -> None:
+        # The counter has the form of a histogram's buckets, each of which counts the
+        # gaps up to its bound ``le`` in seconds, so that the usual percentile query
+        # works on it.
         self._meter.create_observable_counter(
             "token_gaps",
             [self._observe_token_gaps],
@@ -178,13 +183,16 @@
         )
 
     def request_ended(self, class_name: str, outcome: str, seconds: float) -> None:
-        """Count a request that ended; ``outcome`` is "completed" or an error's type."""
+        """Count a request that ended ``seconds`` after its arrival.
+
+        ``outcome`` is "completed" or the type of an error.
+        """
         labels = {"class": class_name, "outcome": outcome}
         self._requests.add(1, labels)
         self._completion.record(seconds, labels)
 
     def first_token(self, class_name: str, prompt_tokens: int, seconds: float) -> None:
-        """Note the time from arrival to the first token."""
+        """Record the time from a request's arrival to the first token."""
         group = prompt_length_group(prompt_tokens)
         self._first_token.record(seconds, {"class": class_name, "prompt_length": group})
 
@@ -193,7 +201,7 @@
         self._output_tokens.add(tokens, {"class": class_name})
 
     def queue_wait(self, class_name: str, seconds: float) -> None:
-        """Note how long a request waited before it was sent or refused."""
+        """Record the time that a request waited until it was sent or refused."""
         self._queue_wait.record(seconds, {"class": class_name})
 
     def refused(self, class_name: str, reason: RefusalReason) -> None:
@@ -205,12 +213,12 @@
         self._limited_answers.add(1, {"class": class_name})
 
     def permit_asked(self, class_name: str, granted: bool, seconds: float) -> None:
-        """Note a request that needed a permit, and how long it waited for it."""
+        """Record a request that needed a permit, and the time it waited for it."""
         outcome = "granted" if granted else "refused"
         self._permit_wait.record(seconds, {"class": class_name, "outcome": outcome})
 
     def gaps_counted(self, class_name: str, gaps: TokenGaps) -> None:
-        """Take the gaps of one stream."""
+        """Add the gaps of one stream to the counts of its class."""
         with self._gaps_lock:
             totals = self._gap_counts_by_class.setdefault(
                 class_name, [0] * len(gaps.counts)
@@ -227,23 +235,29 @@
                 yield Observation(up_to, {"class": class_name, "le": bound})
 
     def platform_call(self, kind: str, outcome: str, seconds: float) -> None:
-        """Note one call to the platform, such as kind "get" and outcome "ok"."""
+        """Record one call to the platform, such as kind "get" with outcome "ok"."""
         self._platform_calls.record(seconds, {"kind": kind, "outcome": outcome})
 
     def observe_counter(
-        self, name: str, description: str, label: str, read: Read
+        self, name: str, description: str, label: str, read: ReadValues
     ) -> None:
-        """Publish counts that another part keeps; ``read`` gives them by label."""
+        """Publish counts kept by another part.
+
+        ``read`` returns the counts by the value of ``label``, at each scrape.
+        """
         self._meter.create_observable_counter(
-            name, [_observer(label, read)], description=description
+            name, [_make_observe_callback(label, read)], description=description
         )
 
     def observe_gauge(
-        self, name: str, description: str, label: str, read: Read
+        self, name: str, description: str, label: str, read: ReadValues
     ) -> None:
-        """Publish what another part knows now; ``read`` gives values by label."""
+        """Publish current values of another part.
+
+        ``read`` returns the values by the value of ``label``, at each scrape.
+        """
         self._meter.create_observable_gauge(
-            name, [_observer(label, read)], description=description
+            name, [_make_observe_callback(label, read)], description=description
         )
 
     def render(self) -> bytes:
@@ -251,12 +265,12 @@
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Stop collecting; later notes are dropped."""
+        """Stop collecting; values recorded later are dropped."""
         self._provider.shutdown()
 
 
-def _observer(
-    label: str, read: Read
+def _make_observe_callback(
+    label: str, read: ReadValues
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
     def observe(options: CallbackOptions) -> Iterable[Observation]:
         return [Observation(value, {label: name}) for name, value in read().items()]
