--- a/cranberrywick/model.py
+++ b/cranberrywick/model.py
@@ -1,4 +1,4 @@
-"""Typed values that the parts of the program pass to one another."""
+"""Data types that are shared by the parts of the program."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -29,7 +29,7 @@
 
 
 class Executed(StrEnum):
-    """Whether a request ran, as far as this daemon can know."""
+    """Whether a request ran, as far as this daemon can tell."""
 
     NO = "no"
     YES = "yes"
@@ -37,14 +37,14 @@
 
 
 class EndpointKind(StrEnum):
-    """What stands behind an endpoint's address."""
+    """What an endpoint is: an inference engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class EndpointPhase(StrEnum):
-    """How much new work an endpoint can take."""
+    """The phase of an endpoint, which determines how much new work it can run."""
 
     COLD = "cold"
     WARM = "warm"
@@ -53,7 +53,7 @@
 
 
 class EndpointRefusal(StrEnum):
-    """Why an endpoint did not take a request; in every case it did not run."""
+    """Why an endpoint refused a request; the request never ran."""
 
     COLD = "cold"
     LEAVING = "leaving"
@@ -62,7 +62,7 @@
 
 
 class ClassTargets(NamedTuple):
-    """What operators promise for one class of work, in seconds.
+    """The targets that operators set for one class of work, in seconds.
 
     ``attainment`` is the share of requests, between 0 and 1, that must meet
     the first-token and between-tokens targets; ``completion_seconds`` is a hard
@@ -76,11 +76,11 @@
 
 
 class Work(NamedTuple):
-    """One request as the decisions see it.
+    """One request, with what admission and placement need of it.
 
-    Times are seconds on the daemon's monotonic clock. ``prefix_keys`` are digests
-    of the prompt's leading blocks, shortest prefix first; two requests that share
-    the first ``n`` keys share that many blocks of prompt.
+    Times are in seconds on the daemon's monotonic clock. ``prefix_keys`` are digests
+    of the prompt's prefixes of one, two and more blocks; two requests with the same
+    first ``n`` keys have the first ``n`` blocks of their prompts in common.
     """
 
     work_id: str
@@ -99,12 +99,12 @@
 
 
 class Endpoint(NamedTuple):
-    """What is known of an endpoint from the VM list and the configuration.
+    """An endpoint as the VM list and the configuration describe it.
 
-    ``address`` is ``host:port``. ``prefill_tokens_per_second`` and
-    ``cache_tokens`` are the kind's nominal figures; outcomes correct them.
-    ``slots`` is how many requests a warm endpoint runs together, ``cold_slots``
-    how many a cold one bears.
+    ``address`` is ``host:port``. ``prefill_tokens_per_second`` and ``cache_tokens``
+    are the nominal figures of the endpoint's kind, which are corrected by outcomes.
+    ``slots`` is the number of requests that a warm endpoint runs at the same time,
+    ``cold_slots`` the number that a cold one can run.
     """
 
     endpoint_id: str
@@ -123,11 +123,11 @@
 
 
 class EndpointLoad(NamedTuple):
-    """One load report of an endpoint; it describes a moment that has passed.
+    """One load report of an endpoint, which describes a moment in the past.
 
-    ``incarnation`` grows each time the endpoint's process starts.
-    ``reported_at`` is seconds on this daemon's monotonic clock, less the age
-    that the report states.
+    ``incarnation`` increases each time the endpoint's process starts. ``reported_at``
+    is the time of that moment, in seconds on this daemon's monotonic clock: the time
+    of arrival less the age that the report states.
     """
 
     endpoint_id: str
@@ -142,7 +142,10 @@
 
 
 class Share(NamedTuple):
-    """The part of one endpoint that this daemon may use until ``expires_at``."""
+    """The slots of one endpoint that this daemon may use until ``expires_at``.
+
+    ``expires_at`` is in seconds on the daemon's monotonic clock.
+    """
 
     endpoint_id: str
     slots: int
@@ -162,14 +165,14 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The scheduler has taken the work and will decide on it at a later poll."""
+    """The scheduler has queued the work and will decide on it at a later poll."""
 
     work_id: str
 
 
 @dataclass(frozen=True)
 class Refused:
-    """The work did not run and will not; come back after ``retry_after`` seconds."""
+    """The work did not run and will not; retry after ``retry_after`` seconds."""
 
     work_id: str
     reason: RefusalReason
@@ -178,10 +181,10 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send the work now. More than one endpoint means a gang, leader first.
+    """The work is to be sent now; several endpoints form a gang, the leader first.
 
-    ``gang_tokens`` are the tokens that each member of a gang holds, in the same
-    order; empty without a gang.
+    ``gang_tokens`` are the numbers of tokens that the members of the gang hold, in the
+    order of ``endpoint_ids``; it is empty without a gang.
     """
 
     work_id: str
@@ -191,22 +194,22 @@
 
 @dataclass(frozen=True)
 class GiveUp:
-    """Queued work that can no longer make it; the caller is told at once."""
+    """Queued work that can no longer meet its targets; the caller is answered now."""
 
     refused: Refused
 
     @property
     def work_id(self) -> str:
-        """The work that is given up."""
+        """The id of the work that is given up."""
         return self.refused.work_id
 
 
 class SendResult(NamedTuple):
-    """What came of one attempt at an endpoint.
+    """The result of one attempt at an endpoint.
 
-    ``first_token_seconds`` and ``total_seconds`` count from the send;
-    ``first_token_seconds`` is None when nothing arrived.
-    ``leaving`` says that the endpoint refused because it is going away.
+    ``first_token_seconds`` and ``total_seconds`` are measured from the send;
+    ``first_token_seconds`` is None if nothing arrived. ``leaving`` and ``cold`` are
+    true if the endpoint refused because it is leaving or in cold start.
     """
 
     endpoint_id: str
@@ -221,14 +224,14 @@
 
 @dataclass(frozen=True)
 class Settled:
-    """Nothing more will be tried for this work."""
+    """The work has ended and will not be tried again."""
 
     work_id: str
 
 
 @dataclass(frozen=True)
 class Retry:
-    """The work is queued again and will be sent elsewhere."""
+    """The work is queued again, to be sent to another endpoint."""
 
     work_id: str
 
@@ -242,7 +245,7 @@
 
 @dataclass(frozen=True)
 class Failed:
-    """The request was sent and did not complete; ``executed`` says what is known."""
+    """The request was sent and not completed; ``executed`` says whether it ran."""
 
     error_type: str
     executed: Executed
