--- a/cranberrywick/observed.py
+++ b/cranberrywick/observed.py
@@ -1,7 +1,7 @@
-"""What the metrics read from other parts when a scrape comes.
+"""The metrics that are read from other parts at a scrape.
 
-These parts count for themselves; a scrape reads their counts, so that nothing is
-done for the metrics on the way of a request or a message.
+These parts keep counts of their own. The counts are read only at a scrape, so that the
+metrics add no work to the path of a request or a message.
 """
 
 from collections import Counter
@@ -18,7 +18,7 @@
 def observe_parts(
     metrics: Metrics, board: EndpointBoard, relay: Relay, peers: TransportCounts
 ) -> None:
-    """Publish endpoints by phase, open streams and the traffic between daemons."""
+    """Publish endpoints by phase, open streams and traffic between daemons."""
     metrics.observe_gauge(
         "endpoints",
         "Endpoints whose load is known, by phase.",
