--- a/cranberrywick/prompts.py
+++ b/cranberrywick/prompts.py
@@ -1,4 +1,4 @@
-"""What can be told of a prompt before it runs: its length and its prefix."""
+"""The measures of a prompt that are available before it runs: length and prefix."""
 
 from hashlib import blake2b
 from typing import NamedTuple
@@ -7,16 +7,17 @@
 
 __all__ = ["PREFIX_BLOCK_TOKENS", "Prompt", "measure_prompt"]
 
-# Byte-pair vocabularies average close to four bytes of European text a token.
-# The error is corrected per organisation by the cost estimate, from outcomes.
+# Average number of bytes in a token: byte-pair vocabularies come close to four for
+# European text. The cost estimate learns a correction for each organisation from
+# outcomes.
 BYTES_PER_TOKEN = 4
 
-# Engines cache prefixes in blocks; agreeing on the exact size is not needed, since
-# keys only say which requests share a beginning.
+# Number of tokens in a block of a prefix. Engines cache prefixes in blocks too; the
+# sizes need not agree, since keys only show which requests have a prefix in common.
 PREFIX_BLOCK_TOKENS = 1_024
 
-# The first 32 blocks tell instructions and rulebooks apart; hashing more of a
-# million-token prompt would buy no better placement.
+# Number of leading blocks that get a key. 32 are enough to distinguish instructions and
+# rulebooks; hashing more of a prompt of a million tokens would not improve placement.
 MAX_PREFIX_BLOCKS = 32
 
 DIGEST_BYTES = 8
@@ -24,7 +25,7 @@
 
 
 class Prompt(NamedTuple):
-    """An estimated length in tokens, and digests of the leading blocks."""
+    """A prompt's estimated length in tokens, and digests of its leading blocks."""
 
     tokens: int
     max_output_tokens: int
@@ -32,9 +33,10 @@
 
 
 def measure_prompt(document: dict) -> Prompt:
-    """Measure the body of a chat completion, already parsed from JSON.
+    """Return the measures of a chat completion's body, already parsed from JSON.
 
-    Raises `InvalidRequest` naming the field that is missing or of the wrong kind.
+    Raises `InvalidRequest` that names the field if one is missing or has the wrong
+    type.
 
     >>> measure_prompt({"messages": [{"role": "user", "content": "four"}]}).tokens
     1
