--- a/cranberrywick/bench/relay_daemon.py
+++ b/cranberrywick/bench/relay_daemon.py
@@ -5,7 +5,7 @@
 
 from cranberrywick.endpoints.client import Answer, Call, send
 from cranberrywick.endpoints.relay import Relay
-from cranberrywick.http_limits import create_front
+from cranberrywick.http_limits import create_http_server
 
 __all__ = ["serve_relay"]
 
@@ -61,6 +61,6 @@
     if mode == "plain-lookahead-0":
         settings["channel_request_lookahead"] = 0
     application = _Application(source, mode)
-    server = create_front(application, "127.0.0.1:0", **settings)
+    server = create_http_server(application, "127.0.0.1:0", **settings)
     print(f"ready 127.0.0.1:{server.effective_port}", flush=True)
     server.run()
--- a/cranberrywick/http_limits.py
+++ b/cranberrywick/http_limits.py
@@ -11,7 +11,7 @@
 
 from waitress.server import create_server
 
-__all__ = ["MAX_BODY_BYTES", "WAITRESS_SETTINGS", "create_front"]
+__all__ = ["MAX_BODY_BYTES", "WAITRESS_SETTINGS", "create_http_server"]
 
 KIB = 1024
 MIB = 1024 * KIB
@@ -57,12 +57,12 @@
 }
 
 
-def create_front(application: Callable, listen: str, **overrides: Any):
+def create_http_server(application: Callable, listen: str, **overrides: Any):
     """Return a waitress server that runs a WSGI application with these limits.
 
     ``listen`` is ``ip:port``; ``overrides`` replace entries of `WAITRESS_SETTINGS`.
 
-    >>> server = create_front(application, "127.0.0.1:0", threads=20)
+    >>> server = create_http_server(application, "127.0.0.1:0", threads=20)
     >>> server.effective_port
     40213
     """
--- a/cranberrywick/http_server.py
+++ b/cranberrywick/http_server.py
@@ -6,7 +6,7 @@
 
 from waitress import wasyncore
 
-from cranberrywick.http_limits import create_front
+from cranberrywick.http_limits import create_http_server
 
 __all__ = ["HttpServer"]
 
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, application: Callable, listen: str, threads: int):
-        self._server = create_front(application, listen, threads=threads)
+        self._server = create_http_server(application, listen, threads=threads)
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="http", daemon=True)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,7 @@
 from cranberrywick.endpoints.events import error_event
 from cranberrywick.endpoints.relay import Relay
 from cranberrywick.errors import CranberrywickError
-from cranberrywick.http_limits import create_front
+from cranberrywick.http_limits import create_http_server
 from cranberrywick.standin import engine
 
 WAIT_SECONDS = 20.0
@@ -39,7 +39,9 @@
         self.last_events_by_id = {}
         self.relay = Relay()
         self.relay.start()
-        self.server = create_front(self.serve, "127.0.0.1:0", threads=16, **settings)
+        self.server = create_http_server(
+            self.serve, "127.0.0.1:0", threads=16, **settings
+        )
         threading.Thread(target=self.server.run, daemon=True).start()
 
     def serve(self, environ, start_response):
