--- a/cranberrywick/dispatcher.py
+++ b/cranberrywick/dispatcher.py
@@ -173,7 +173,7 @@
                 self._poll(now)
 
     def set_endpoints(self, endpoints_by_id: Mapping[str, Endpoint]) -> None:
-        """Replace the known endpoints."""
+        """Replace the set of endpoints."""
         self._endpoint_ids = tuple(endpoints_by_id)
         self._change(lambda now: self._strategy.set_endpoints(endpoints_by_id, now))
 
--- a/cranberrywick/model.py
+++ b/cranberrywick/model.py
@@ -29,7 +29,7 @@
 
 
 class Executed(StrEnum):
-    """Whether a request ran, as far as this daemon can tell."""
+    """Whether a request ran, as far as this daemon can determine."""
 
     NO = "no"
     YES = "yes"
