--- a/cranberrywick/demo.py
+++ b/cranberrywick/demo.py
@@ -1,7 +1,7 @@
-"""A whole small fleet in one process: three daemons and every stand-in.
+"""A demonstration: a small fleet of three daemons and all stand-ins in one process.
 
-``make run`` runs it: one short prompt, one very long prompt and one booking are
-served through addresses that a daemon handed out.
+``make run`` starts it. One short prompt, one very long prompt and one booking are
+served by the entry that a daemon names in its answer to ``GET /v1/entries``.
 """
 
 import json
@@ -32,13 +32,18 @@
 DEMO_MODEL = "drafter"
 FAILURE_DOMAINS = ("tallinn-a", "tallinn-b", "tallinn-c")
 REGION = "tallinn"
+# Longest wait until every daemon is ready, in seconds.
 READY_SECONDS = 30.0
+# Time-out of connecting and of each read of an answer, in seconds.
 ANSWER_SECONDS = 300.0
 LONG_PROMPT_TOKENS = 400_000
 
 
 def demo_configuration() -> dict:
-    """Return the operators' document of the demonstration: targets only."""
+    """Return the operators' configuration document for the demonstration.
+
+    It states targets and the endpoints' nominal capacities, no routing parameters.
+    """
     return {
         "organisations": {
             "kask": {"key_sha256": [sha256(DEMO_KEY.encode()).hexdigest()]}
@@ -94,7 +99,7 @@
 
 
 class Fleet(NamedTuple):
-    """The running parts of the demonstration."""
+    """The running stand-ins and daemons of the demonstration."""
 
     key_value: RunningStandIn
     vm_list: RunningStandIn
@@ -104,18 +109,20 @@
 
 
 @contextmanager
-def running_fleet(say: Callable[[str], None]) -> Iterator[Fleet]:
-    """Start stand-ins and daemons on ports that the system chooses; stop them."""
+def running_fleet(write_line: Callable[[str], None]) -> Iterator[Fleet]:
+    """Run stand-ins and daemons, on ports that the system chooses, for a block."""
     with ExitStack() as stack:
-        key_value = _started(stack, start_key_value())
-        vm_list = _started(stack, start_vm_list([]))
-        weights = _started(stack, start_weight_store())
+        key_value = _stop_at_exit(stack, start_key_value())
+        vm_list = _stop_at_exit(stack, start_vm_list([]))
+        weights = _stop_at_exit(stack, start_weight_store())
         settings = EngineSettings(
             models=(DEMO_MODEL,), prefill_tokens_per_second=200_000.0
         )
-        engines = tuple(_started(stack, start_engine(settings)) for _ in range(2))
-        services = (_started(stack, start_service()),)
-        say("stand-ins: key-value service, VM list, weight store, 2 engines, 1 service")
+        engines = tuple(_stop_at_exit(stack, start_engine(settings)) for _ in range(2))
+        services = (_stop_at_exit(stack, start_service()),)
+        write_line(
+            "stand-ins: key-value service, VM list, weight store, 2 engines, 1 service"
+        )
         _store_configuration(key_value)
         _list_endpoints(vm_list, engines, services)
         daemons = tuple(
@@ -123,11 +130,11 @@
             for number in range(len(FAILURE_DOMAINS))
         )
         _wait_until_ready(daemons)
-        say("daemons: " + ", ".join(daemon.address for daemon in daemons))
+        write_line("daemons: " + ", ".join(daemon.address for daemon in daemons))
         yield Fleet(key_value, vm_list, engines, services, daemons)
 
 
-def _started(stack: ExitStack, standin: RunningStandIn) -> RunningStandIn:
+def _stop_at_exit(stack: ExitStack, standin: RunningStandIn) -> RunningStandIn:
     stack.callback(standin.stop)
     return standin
 
@@ -213,18 +220,25 @@
             time.sleep(0.05)
 
 
-def run_demo(say: Callable[[str], None]) -> None:
-    """Start the fleet, serve three requests through it, and stop it."""
-    with running_fleet(say) as fleet:
-        entry = _ask_for_entry(fleet.daemons[0].address)
-        say(f"caller was told to use {entry}")
-        say("short prompt: " + _complete(entry, "summary", "Grants for barns?"))
+def run_demo(write_line: Callable[[str], None]) -> None:
+    """Start the fleet, make three requests to it, and stop it.
+
+    Each line of the report is passed to ``write_line``. Raises `AnswerLost` if a daemon
+    does not become ready or a request fails.
+    """
+    with running_fleet(write_line) as fleet:
+        entry = _fetch_entry(fleet.daemons[0].address)
+        write_line(f"caller was told to use {entry}")
+        write_line(
+            "short prompt: "
+            + _request_completion(entry, "summary", "Grants for barns?")
+        )
         long_text = "rule " * (LONG_PROMPT_TOKENS * 4 // 5)
-        say("long prompt: " + _complete(entry, "review", long_text))
-        say("booking: " + _book(entry))
+        write_line("long prompt: " + _request_completion(entry, "review", long_text))
+        write_line("booking: " + _request_booking(entry))
 
 
-def _ask_for_entry(address: str) -> str:
+def _fetch_entry(address: str) -> str:
     answer = urllib3.request(
         "GET", f"http://{address}/v1/entries", headers=_headers(), retries=False
     )
@@ -236,7 +250,7 @@
     return {"Authorization": f"Bearer {DEMO_KEY}", "Content-Type": "application/json"}
 
 
-def _complete(entry: str, class_name: str, text: str) -> str:
+def _request_completion(entry: str, class_name: str, text: str) -> str:
     body = {
         "model": f"{DEMO_MODEL}:{class_name}",
         "messages": [{"role": "user", "content": text}],
@@ -267,7 +281,7 @@
     )
 
 
-def _book(entry: str) -> str:
+def _request_booking(entry: str) -> str:
     response = urllib3.request(
         "POST",
         f"http://{entry}/v1/services/booking/slots",
