--- a/tests/test_must_hold.py
+++ b/tests/test_must_hold.py
@@ -1,4 +1,4 @@
-"""What must always hold, on real processes, judged by what callers receive."""
+"""The guarantees to callers, tested on real processes by what callers receive."""
 
 import json
 import signal
@@ -27,7 +27,7 @@
 
 
 class Received(NamedTuple):
-    """What a caller received; status 0 where the connection gave nothing."""
+    """The response that a caller received; the status is 0 if there was none."""
 
     status: int
     body: bytes
@@ -35,12 +35,12 @@
 
     @property
     def error(self) -> dict:
-        """The error's fields, empty for an answer that is none."""
+        """The fields of the error, or an empty dict if the response is none."""
         return json.loads(self.body).get("error", {}) if self.body else {}
 
 
 def call(daemon, path, document, key="", timeout=90.0):
-    """Make one caller's request, without any retry."""
+    """Make a caller's request, without retries."""
     headers = {"Authorization": f"Bearer {CALLER_KEY}"}
     if key:
         headers["Idempotency-Key"] = key
@@ -73,8 +73,8 @@
 
 
 @contextmanager
-def long_stream(daemon, tokens):
-    """Open a streamed completion and give its first byte's response."""
+def open_stream(daemon, tokens):
+    """Request a streamed completion; yield the response when its headers arrive."""
     connection = HTTPConnection(daemon.address, timeout=90)
     document = {
         "model": "drafter",
@@ -90,8 +90,11 @@
         connection.close()
 
 
-def accepts(daemon):
-    """Whether a new connection can be made; the pool would use an old one."""
+def accepts_connections(daemon):
+    """Return whether the daemon accepts a new connection.
+
+    It does without urllib3, whose pool would reuse an open connection.
+    """
     host, port = daemon.address.split(":")
     try:
         socket.create_connection((host, int(port))).close()
@@ -100,7 +103,7 @@
     return True
 
 
-def operate(daemon, path, document):
+def post_as_operator(daemon, path, document):
     headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
     answer = urllib3.request(
         "POST",
@@ -116,21 +119,22 @@
     return get(daemon, "/readyz")["configuration_version"]
 
 
-def runs(fleet, key):
-    """How often the service ran the call with this key."""
+def count_runs(fleet, key):
+    """Return the number of times that the service ran the call with this key."""
     return get(fleet.services[0], "/bookings")["by_key"].get(key, 0)
 
 
-def reads(fleet):
-    """How often the configuration was read from the platform."""
+def count_reads(fleet):
+    """Return the number of times that keys were read from the platform."""
     return get(fleet.key_value, "/counts").get("read", 0)
 
 
-def lose_sight_of_changes(fleet):
-    """Let the platform show its daemons nothing that is written from now on.
+def hide_changes_from_daemons(fleet):
+    """Let the platform hide every later change of the configuration from the daemons.
 
-    A watch that waits already would still tell; writing what is there ends them all,
-    and those that follow lose their events.
+    A watch that is already waiting would still report the next change. The same
+    configuration is therefore written once more, which ends all of these watches; the
+    watches that follow lose their events, and reads return the old value.
     """
     fleet.set_fault(fleet.key_value, "watch_gap")
     put_configuration(fleet.key_value, CONFIGURATION)
@@ -138,20 +142,20 @@
     get(fleet.key_value, "/v1/keys/config%2Fcurrent")
 
 
-def completions_begun(engine):
+def count_completions(engine):
     return get(engine, "/counts").get(f"POST {COMPLETIONS_PATH}", 0)
 
 
-def exports_taken(engine):
+def count_exports(engine):
     return get(engine, "/counts").get("POST /v1/cache/exports", 0)
 
 
-def running(engine):
+def count_running(engine):
     return get(engine, "/v1/load")["running"]
 
 
-def phases_at(daemon):
-    """The engines' phases as one daemon sees them."""
+def engine_phases(daemon):
+    """Return the engines' phases that a daemon reports to operators."""
     headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
     url = f"http://{daemon.address}/operator/v1/endpoints"
     rows = urllib3.request("GET", url, headers=headers, retries=False).json()
@@ -165,20 +169,21 @@
 
 
 class TestAtMostOnce:
-    """A non-idempotent subscription, notice or slot reservation runs once."""
+    """A non-idempotent subscription, notice or slot reservation runs at most once."""
 
     def test_the_entry_dies_while_the_booking_runs(self, fleet):
-        """The caller hears nothing and repeats its call at another entry.
+        """A second entry must not run a booking that a killed entry has sent.
 
-        The first entry had claimed the key and sent the booking when it was killed.
-        The second finds the claim and sends nothing: it says that the call is
-        running, with its outcome unknown, and when to ask again.
+        The first entry claims the key, sends the booking and is killed, so that the
+        caller receives no response and repeats the call at another entry. That entry
+        finds the claim and sends nothing. It answers that the call is running, that it
+        is unknown whether it ran, and when to retry.
         """
         first, second, _ = fleet.daemons
         fleet.set_fault(fleet.services[0], "hold_next_answer", path="/slots")
         with ThreadPoolExecutor(1) as callers:
             lost = callers.submit(book, first, "key-1")
-            wait_for(lambda: runs(fleet, "key-1") == 1, "the booking runs")
+            wait_for(lambda: count_runs(fleet, "key-1") == 1, "the booking runs")
             first.signal(signal.SIGKILL)
             assert lost.result().status == 0
         fleet.clear_faults(fleet.services[0])
@@ -188,19 +193,21 @@
         assert (answer.status, answer.error["type"]) == (409, "still_running")
         assert answer.error["executed"] == "unknown"
         assert "Retry-After" in answer.headers
-        assert runs(fleet, "key-1") == 1
+        assert count_runs(fleet, "key-1") == 1
 
     def test_the_entry_stands_still_while_the_booking_runs(self, fleet):
-        """The caller gives up and repeats its call; then the first entry goes on.
+        """A booking repeated while its entry is paused does not run twice.
 
-        The entry is stopped with its claim taken and the booking held at the
-        service, goes on later, and finishes: its act stays the only one.
+        The entry is stopped by SIGSTOP after it has claimed the key, while the service
+        holds back the answer to the booking. The caller repeats the call at another
+        entry. Then the first entry continues and completes the booking, which stays
+        the only one; the other entry replays the recorded answer.
         """
         first, second, _ = fleet.daemons
         fleet.set_fault(fleet.services[0], "hold_next_answer", path="/slots")
         with ThreadPoolExecutor(1) as callers:
             paused = callers.submit(book, first, "key-1")
-            wait_for(lambda: runs(fleet, "key-1") == 1, "the booking runs")
+            wait_for(lambda: count_runs(fleet, "key-1") == 1, "the booking runs")
             first.signal(signal.SIGSTOP)
             assert book(second, "key-1").error["type"] == "still_running"
             fleet.clear_faults(fleet.services[0])
@@ -211,13 +218,14 @@
             return book(second, "key-1").status == 200
 
         wait_for(replayed, "the recorded answer")
-        assert runs(fleet, "key-1") == 1
+        assert count_runs(fleet, "key-1") == 1
 
     def test_the_answer_of_the_claims_write_is_lost(self, fleet):
-        """The booking is answered as if nothing had happened.
+        """A lost answer to the write of the claim does not affect the booking.
 
-        The platform wrote the claim and its answer broke off. The daemon reads the
-        claim back, finds its own nonce there, and acts; it does not claim again.
+        The platform writes the claim and closes the connection before its answer. The
+        daemon reads the claim, finds its own nonce in it, and sends the booking without
+        claiming the key a second time.
         """
         daemon = fleet.daemons[0]
         fleet.set_fault(
@@ -225,32 +233,34 @@
         )
 
         assert book(daemon, "key-1").status == 200
-        assert runs(fleet, "key-1") == 1
+        assert count_runs(fleet, "key-1") == 1
 
     def test_the_same_key_at_every_entry_at_once(self, fleet):
-        """One caller's impatient client sends one booking to all entries at once.
+        """Of nine simultaneous calls with one key, exactly one runs.
 
-        All race for the claim; one wins and books. The others say that it is
-        running, or give its answer again.
+        A client sends the same booking to all entries at once, and all of them try to
+        claim the key. One succeeds and books; the others answer that the call is
+        running, or replay its answer.
         """
         with ThreadPoolExecutor(9) as callers:
             answers = list(
                 callers.map(lambda daemon: book(daemon, "key-1"), fleet.daemons * 3)
             )
 
-        assert runs(fleet, "key-1") == 1
+        assert count_runs(fleet, "key-1") == 1
         assert any(answer.status == 200 for answer in answers)
         assert {answer.status for answer in answers} <= {200, 409}
 
 
 class TestNotRun:
-    """When a refusal says "not run", the request did not run."""
+    """A request that is refused as not run has not run."""
 
     def test_the_platform_is_out(self, fleet):
-        """A booking is refused as not run, with when to come back; text is served.
+        """During an outage of the platform, bookings are refused, not completions.
 
-        The claim can't be written, so nothing is sent. Completions need no claim.
-        When the platform is back, the same key books once.
+        The claim can't be written, so the booking is not sent; it is refused as not
+        run, with the time to retry. Completions need no claim. After the outage the
+        same key books once.
         """
         daemon = fleet.daemons[0]
         fleet.set_fault(fleet.key_value, "outage")
@@ -260,17 +270,18 @@
 
         assert refused.error["executed"] == "no"
         assert "Retry-After" in refused.headers
-        assert runs(fleet, "key-1") == 0
+        assert count_runs(fleet, "key-1") == 0
         assert served.status == 200
         fleet.clear_faults(fleet.key_value)
         wait_for(lambda: book(daemon, "key-1").status == 200, "the booking")
-        assert runs(fleet, "key-1") == 1
+        assert count_runs(fleet, "key-1") == 1
 
     def test_a_refused_booking_can_be_made_later(self, fleet):
-        """The service refuses as full; the same key books when it has room.
+        """A booking that the service refused as full can be repeated with its key.
 
-        The claim was taken before the send. The refusal gives it back, or the key
-        would answer "outcome unknown" for a call that never ran.
+        The key is claimed before the booking is sent, and the claim is released on the
+        refusal. Otherwise calls with the key would be answered "outcome unknown",
+        though the booking never ran.
         """
         daemon, other, _ = fleet.daemons
         fleet.set_fault(fleet.services[0], "refuse", reason="full", path="/slots")
@@ -279,14 +290,14 @@
         fleet.clear_faults(fleet.services[0])
 
         wait_for(lambda: book(other, "key-1").status == 200, "the booking")
-        assert runs(fleet, "key-1") == 1
+        assert count_runs(fleet, "key-1") == 1
 
     def test_a_retry_that_is_refused_does_not_hide_the_attempt_before(self, tmp_path):
-        """The caller is not told "not run" where an engine may have run its request.
+        """A refused retry does not turn a request of unknown outcome into "not run".
 
-        The engine takes the request and holds its answer, which then names another
-        request; what ran is left open. The retries are refused as full. The final
-        answer must not forget the first attempt.
+        The engine accepts the first attempt and holds back its answer, which has the
+        ids of another request, so that it is unknown whether the request ran. The
+        retries are refused as full. The caller must still receive "unknown".
         """
         with running_fleet(tmp_path, engines=1) as fleet:
             engine = fleet.engines[0]
@@ -303,16 +314,17 @@
         assert answer.error["executed"] == "unknown"
 
     def test_a_service_that_dies_in_the_call_leaves_it_unknown(self, fleet):
-        """The caller is told that its booking may have run, and so is a repetition.
+        """A booking whose service dies during the call is answered as unknown.
 
-        The connection breaks after the call was sent. Nobody can know, so nobody
-        says "no"; the claim stays and the key books nothing more.
+        The connection breaks after the call was sent, so that the daemon can't tell
+        whether it ran. The claim stays: a repeated call gets "outcome unknown" and
+        does not run.
         """
         daemon, other, _ = fleet.daemons
         fleet.set_fault(fleet.services[0], "hold_next_answer", path="/slots")
         with ThreadPoolExecutor(1) as callers:
             lost = callers.submit(book, daemon, "key-1")
-            wait_for(lambda: runs(fleet, "key-1") == 1, "the booking runs")
+            wait_for(lambda: count_runs(fleet, "key-1") == 1, "the booking runs")
             fleet.services[0].signal(signal.SIGKILL)
             answer = lost.result()
 
@@ -325,17 +337,20 @@
 
 
 class TestConfiguration:
-    """An accepted configuration is in force everywhere and never reverts."""
+    """An accepted configuration comes into force at every daemon and never reverts."""
 
     def test_the_platform_fails_right_after_the_acceptance(self, fleet):
-        """Every daemon has the accepted version, though the platform is gone.
+        """A version reaches every daemon though the platform fails after its write.
 
-        One daemon wrote it. The platform's reads are stale and its watches lose
-        events from before the write on, so that no other can see it there, and then
-        there is an outage. The others hear of it from their peers.
+        One daemon writes the version. No other can read it from the platform, whose
+        reads are stale and whose watches lose events from before the write on, and
+        which then has an outage. The other daemons receive the version from their
+        peers.
         """
-        lose_sight_of_changes(fleet)
-        status, accepted = operate(fleet.daemons[0], "domains/domain-c", {"out": True})
+        hide_changes_from_daemons(fleet)
+        status, accepted = post_as_operator(
+            fleet.daemons[0], "domains/domain-c", {"out": True}
+        )
         fleet.set_fault(fleet.key_value, "outage")
 
         assert status == 200
@@ -343,38 +358,41 @@
             wait_for(lambda d=each: version_in_force(d) == accepted["version"], each)
 
     def test_stale_reads_do_not_turn_it_back(self, fleet):
-        """A replica of the platform that lags answers with the version before.
+        """A daemon keeps its version when it reads an older one.
 
-        Each daemon reads it again and again, and keeps the newer one.
+        A replica of the platform that lags behind returns the version before. Each
+        daemon reads it several times and keeps the newer version.
         """
-        lose_sight_of_changes(fleet)
-        status, accepted = operate(fleet.daemons[0], "domains/domain-c", {"out": True})
+        hide_changes_from_daemons(fleet)
+        status, accepted = post_as_operator(
+            fleet.daemons[0], "domains/domain-c", {"out": True}
+        )
         assert status == 200
         for each in fleet.daemons:
             wait_for(lambda d=each: version_in_force(d) == accepted["version"], each)
 
-        before = reads(fleet)
-        wait_for(lambda: reads(fleet) >= before + 6, "each daemon has read again")
+        before = count_reads(fleet)
+        wait_for(lambda: count_reads(fleet) >= before + 6, "each daemon has read again")
 
         for each in fleet.daemons:
             assert version_in_force(each) == accepted["version"]
 
 
 class TestLeavingAndOut:
-    """What leaves or is taken out gets no new work, and what runs there ends."""
+    """A leaving endpoint or a domain taken out gets no new work; requests finish."""
 
     def test_a_failure_domain_taken_out(self, fleet):
-        """A stream in the domain ends whole; new requests all go elsewhere.
+        """A domain taken out gets no new requests, and its stream is completed.
 
-        An operator takes out the domain in which a long stream runs. Once the
-        version is in force everywhere, its engine is sent nothing more.
+        An operator takes out the domain in which a long stream runs. As soon as the
+        version is in force at every daemon, the engine there is sent no more requests.
         """
         with ThreadPoolExecutor(1) as callers:
             streams = callers.submit(complete, fleet.daemons[0], "x", 150, True)
-            wait_for(lambda: any(map(running, fleet.engines)), "the stream runs")
-            number = next(i for i, e in enumerate(fleet.engines) if running(e))
+            wait_for(lambda: any(map(count_running, fleet.engines)), "the stream runs")
+            number = next(i for i, e in enumerate(fleet.engines) if count_running(e))
             domain = ("domain-a", "domain-b")[number]
-            status, accepted = operate(
+            status, accepted = post_as_operator(
                 fleet.daemons[1], f"domains/{domain}", {"out": True}
             )
             assert status == 200
@@ -382,57 +400,61 @@
                 wait_for(
                     lambda d=each: version_in_force(d) == accepted["version"], each
                 )
-            begun = completions_begun(fleet.engines[number])
+            n_before = count_completions(fleet.engines[number])
             for daemon in fleet.daemons * 4:
                 assert complete(daemon).status == 200
-            assert completions_begun(fleet.engines[number]) == begun
+            assert count_completions(fleet.engines[number]) == n_before
             assert streams.result().body.endswith(b"data: [DONE]\n\n")
 
     def test_a_domain_that_is_not_there(self, fleet):
-        """The operator slips in the name; the answer names the domains there are.
+        """A misspelt domain is refused, and the answer lists the existing domains.
 
-        Taken as it is, the change would be accepted and nothing would go out.
+        Otherwise the change would be accepted without taking any domain out.
         """
-        status, answer = operate(fleet.daemons[0], "domains/domain-x", {"out": True})
+        status, answer = post_as_operator(
+            fleet.daemons[0], "domains/domain-x", {"out": True}
+        )
         assert (status, answer["error"]["type"]) == (400, "invalid_request")
         assert "domain-a, domain-b, domain-c" in answer["error"]["message"]
 
     def test_an_endpoint_that_leaves(self, fleet):
-        """Every request is served, though one engine refuses as leaving.
+        """A refusal as leaving keeps all daemons from sending to the engine.
 
-        Neither the VM list nor a load report says so. The first refusal closes the
-        engine here, the news reaches the other daemons, and none of them tries it.
+        Neither the VM list nor a load report states that the engine is leaving. The
+        first refusal closes it at one daemon, which sends this to the others. Every
+        request is served, and no daemon sends one to the engine.
         """
         engine = fleet.engines[0]
         for daemon in fleet.daemons:
-            wait_for(lambda d=daemon: phases_at(d) == {"warm"}, daemon.name)
+            wait_for(lambda d=daemon: engine_phases(d) == {"warm"}, daemon.name)
         fleet.set_fault(engine, "outage", path="/v1/load")
         post(engine, "/faults", {"kind": "turn_leaving"})
 
         def is_found():
             assert complete(fleet.daemons[0]).status == 200
-            return "leaving" in phases_at(fleet.daemons[0])
+            return "leaving" in engine_phases(fleet.daemons[0])
 
         wait_for(is_found, "the endpoint has refused")
         for daemon in fleet.daemons:
-            wait_for(lambda d=daemon: "leaving" in phases_at(d), daemon.name)
-        begun = completions_begun(engine)
+            wait_for(lambda d=daemon: "leaving" in engine_phases(d), daemon.name)
+        n_before = count_completions(engine)
         for daemon in fleet.daemons * 4:
             assert complete(daemon).status == 200
-        assert completions_begun(engine) == begun
+        assert count_completions(engine) == n_before
 
 
 class TestGracefulShutdown:
     """A planned stop cuts no request."""
 
     def test_a_daemon_is_told_to_stop_while_it_streams(self, fleet):
-        """The stream ends whole, and callers that still hold the address are served.
+        """A daemon that gets SIGTERM completes its stream and serves late callers.
 
-        The daemon is sent SIGTERM in mid-stream. It leaves the address answers at
-        once, serves on for their lifetime, lets the stream end and exits with 0.
+        Its address is no longer given to callers. It goes on serving those that still
+        hold the address, until their answers have expired, lets the stream end and
+        exits with 0.
         """
         daemon, other, _ = fleet.daemons
-        with long_stream(daemon, 200) as response:
+        with open_stream(daemon, 200) as response:
             first = response.read1(100)
             daemon.signal(signal.SIGTERM)
             wait_for(lambda: not get(daemon, "/readyz")["ready"], "the drain")
@@ -451,19 +473,20 @@
         assert daemon.wait() == 0
 
     def test_a_connection_that_is_kept_open_does_not_hold_up_the_stop(self, fleet):
-        """A client goes on sending over its open connection; it is told to go.
+        """A client that keeps using its open connection does not prevent the stop.
 
-        A stream keeps the daemon up after its listener has closed. The client's
-        next request is refused as not run, and the daemon ends with the stream.
+        A stream keeps the daemon running after it has closed its listener. A request
+        over the client's connection is refused as not run, and the daemon exits when
+        the stream ends.
         """
         daemon = fleet.daemons[0]
         kept = HTTPConnection(daemon.address, timeout=90)
         kept.request("GET", "/healthz")
         kept.getresponse().read()
-        with long_stream(daemon, 2000) as response, ThreadPoolExecutor(1) as reader:
+        with open_stream(daemon, 2000) as response, ThreadPoolExecutor(1) as reader:
             reader.submit(response.read)
             daemon.signal(signal.SIGTERM)
-            wait_for(lambda: not accepts(daemon), "the listener has closed")
+            wait_for(lambda: not accepts_connections(daemon), "the listener has closed")
             kept.request("POST", BOOKING_PATH, "{}")
             refused = kept.getresponse()
             body = json.loads(refused.read())
@@ -473,13 +496,14 @@
 
 
 class TestWholeAnswers:
-    """A caller gets the whole answer to its own request."""
+    """A caller gets the complete answer to its own request, or an error."""
 
     def test_answers_cross(self, fleet):
-        """Two callers at once; an engine answers one with the other's ids.
+        """A caller never receives the answer to another caller's request.
 
-        Each gets its own answer or a typed failure, never the other's text: the
-        crossed one is found by its ids and asked for again.
+        Of two simultaneous requests, an engine answers one with the ids of the other.
+        The daemon detects this by the ids and sends the request again. Each caller
+        gets its own answer or a typed error.
         """
         for engine in fleet.engines:
             fleet.set_fault(engine, "cross", count=1)
@@ -495,14 +519,15 @@
                 assert answer.error["type"]
 
     def test_the_engine_dies_in_mid_stream(self, fleet):
-        """The caller's stream ends with an error event, not like a short answer.
+        """A stream whose engine dies ends with an error event.
 
-        The engine is killed after the first events; nothing can resume there. The
-        caller finds no end mark but the typed failure.
+        The engine is killed after the first events, and the stream can't be resumed.
+        The caller must not mistake it for a complete short answer: it receives a typed
+        error and no end mark.
         """
-        with long_stream(fleet.daemons[0], 400) as response:
+        with open_stream(fleet.daemons[0], 400) as response:
             first = response.read1(100)
-            engine = next(each for each in fleet.engines if running(each))
+            engine = next(each for each in fleet.engines if count_running(each))
             engine.signal(signal.SIGKILL)
             body = first + response.read()
         assert b"event: error" in body
@@ -513,10 +538,10 @@
     """Every admitted request finishes or fails within its class's time."""
 
     def test_an_engine_that_stands_still(self, tmp_path):
-        """The caller is told that its time has passed, by its class's target.
+        """A stream whose engine is paused ends at the completion time of its class.
 
-        All engines are stopped by a signal in mid-stream: their connections stay
-        open and silent, so that only the deadline can end the request.
+        The only engine is stopped by SIGSTOP in mid-stream. Its connections stay open
+        but send nothing, so that only the deadline can end the request.
         """
         document = json.loads(json.dumps(CONFIGURATION))
         document["classes"]["summary"].update(
@@ -524,7 +549,7 @@
         )
         with running_fleet(tmp_path, configuration=document, engines=1) as fleet:
             engine = fleet.engines[0]
-            with long_stream(fleet.daemons[0], 400) as response:
+            with open_stream(fleet.daemons[0], 400) as response:
                 first = response.read1(100)
                 engine.signal(signal.SIGSTOP)
                 body = first + response.read()
@@ -533,18 +558,18 @@
 
 
 class TestColdStart:
-    """An endpoint in cold start gets no more work than it can bear."""
+    """An endpoint in cold start gets no more requests than it can run."""
 
     def test_three_daemons_and_one_cold_engine(self, fleet):
-        """Callers at three entries at once; no engine falls over.
+        """Three daemons together do not overload an engine in cold start.
 
-        Both engines turn cold and say so in their next report. Each bears one
-        request, and three daemons that share no view could each send it one.
+        Both engines turn cold and report it. Each can run one request at a time, and
+        three daemons that did not share out its capacity could send it one each.
         """
         for engine in fleet.engines:
             post(engine, "/faults", {"kind": "turn_cold"})
         for daemon in fleet.daemons:
-            wait_for(lambda d=daemon: phases_at(d) == {"cold"}, daemon.name)
+            wait_for(lambda d=daemon: engine_phases(d) == {"cold"}, daemon.name)
         with ThreadPoolExecutor(12) as callers:
             answers = list(callers.map(complete, fleet.daemons * 4))
 
@@ -555,29 +580,30 @@
 
 
 class TestMemory:
-    """No engine loses memory for good."""
+    """An engine's memory is released after every request."""
 
     def test_a_daemon_is_killed_in_mid_stream(self, fleet):
-        """The caller's connection breaks, and the engine's memory comes back.
+        """An engine's memory is released when the daemon of its stream is killed.
 
-        Nobody is left who could cancel the stream by name; the engine notices the
-        closed connection, and the other daemons' sweep anything that it does not.
+        No daemon is left that could cancel the stream by its id. The engine detects the
+        closed connection; the sweep of the other daemons finds what it does not.
         """
         daemon = fleet.daemons[0]
         stopped = threading.Event()
-        with long_stream(daemon, 2000) as response:
+        with open_stream(daemon, 2000) as response:
             response.read1(100)
-            engine = next(each for each in fleet.engines if running(each))
+            engine = next(each for each in fleet.engines if count_running(each))
             daemon.signal(signal.SIGKILL)
             stopped.set()
-        wait_for(lambda: running(engine) == 0, "the stream is gone")
+        wait_for(lambda: count_running(engine) == 0, "the stream is gone")
         wait_for(lambda: get(engine, "/state")["memory_used"] == 0, "memory is back")
 
     def test_a_prompt_above_one_engines_memory(self, tmp_path):
-        """The caller gets a whole answer, and every engine its memory back.
+        """A prompt larger than one engine's memory is answered by two engines.
 
-        Each engine holds 3,000 tokens and the prompt has 4,000. Two engines of one
-        failure domain hold a part each for as long as the answer takes.
+        Each engine holds 3,000 tokens, and the prompt has 4,000. Two engines of one
+        failure domain hold a part each until the answer is complete, and then every
+        engine's memory is released.
         """
         document = json.loads(json.dumps(CONFIGURATION))
         document["endpoint_kinds"]["drafting"]["cache_tokens"] = 3_000
@@ -586,7 +612,7 @@
             tmp_path, engines=4, engine_options=options, configuration=document
         ) as fleet:
             daemon = fleet.daemons[0]
-            wait_for(lambda: phases_at(daemon) == {"warm"}, "all engines report")
+            wait_for(lambda: engine_phases(daemon) == {"warm"}, "all engines report")
             answer = complete(daemon, "word" * 4_000, stream=True)
             assert answer.status == 200
             assert answer.body.endswith(b"data: [DONE]\n\n")
@@ -594,5 +620,5 @@
                 wait_for(
                     lambda e=engine: get(e, "/state")["memory_used"] == 0, engine.name
                 )
-            taken = [e for e in fleet.engines if exports_taken(e)]
+            taken = [e for e in fleet.engines if count_exports(e)]
             assert len(taken) == 1
