--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -3,9 +3,8 @@
     with running_fleet(tmp_path) as fleet:
         fleet.daemons_by_id["entry-a"].address
 
-Every process prints ``ready HOST:PORT`` once it listens; that line is waited for.
-All processes are started first and waited for then, since each takes a while to
-import its libraries.
+Every process prints ``ready HOST:PORT`` once it listens. Processes are started
+together and only then waited for, since each takes some time to import its libraries.
 """
 
 import json
@@ -39,13 +38,14 @@
 PEER_SECRET = "a secret of the test fleet"
 FAILURE_DOMAINS = ("domain-a", "domain-b", "domain-c")
 REGION = "region"
-# Generous, for the machine may be busy; nothing is asserted about time.
+# Longest wait for a process or a condition, in seconds. It is long because the machine
+# may be busy; no test asserts anything about time.
 WAIT_SECONDS = 60.0
 POLL_SECONDS = 0.02
 
 
 def digest(key: str) -> str:
-    """Return a key's form in configuration and settings."""
+    """Return the digest by which configuration and settings hold a key."""
     return sha256(key.encode()).hexdigest()
 
 
@@ -58,7 +58,7 @@
     }
 
 
-# Wide targets: a busy machine must not change what a caller receives.
+# The targets are wide, so that a busy machine does not change what a caller receives.
 CONFIGURATION = {
     "organisations": {"kask": {"key_sha256": [digest(CALLER_KEY)]}},
     "classes": {
@@ -95,7 +95,7 @@
 
 
 class Process:
-    """One ``cranberrywick`` process; its errors go to a file beside the settings."""
+    """One ``cranberrywick`` process, whose standard error is written to a log file."""
 
     def __init__(self, name: str, arguments: list[str], folder: Path):
         self.name = name
@@ -118,12 +118,13 @@
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code, None while it runs."""
+        """The exit code, or None while the process runs."""
         return self._process.poll()
 
     def wait_until_ready(self) -> None:
-        """Read the ready line; fail with the log when none comes."""
-        # A process can fail to start and yet not end, kept alive by a thread.
+        """Read the ready line; fail with the log's content if there is none in time."""
+        # A process whose start failed may still be kept alive by one of its threads,
+        # so that waiting for the end of its output could last forever.
         readable, _, _ = select.select([self._process.stdout], [], [], WAIT_SECONDS)
         line = self._process.stdout.readline() if readable else ""
         word, _, rest = line.partition(" ")
@@ -132,19 +133,19 @@
 
     @property
     def peer_address(self) -> str:
-        """Where a daemon hears the others; it logs this before its ready line."""
+        """A daemon's address for its peers, which it logs before its ready line."""
         return re.search(r" peer_address=(\S+)", self.log_file.read_text())[1]
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self._process.send_signal(number)
 
     def wait(self) -> int:
-        """Wait for the end and return the exit code."""
+        """Wait for the process to end and return its exit code."""
         return self._process.wait(WAIT_SECONDS)
 
     def stop(self) -> None:
-        """End the process at once, if it still runs."""
+        """Kill the process if it still runs, and wait for its end."""
         if self._process.poll() is None:
             self._process.kill()
         self._process.wait(WAIT_SECONDS)
@@ -152,7 +153,7 @@
 
 
 class Fleet(NamedTuple):
-    """The running processes."""
+    """The running processes of a fleet."""
 
     key_value: Process
     vm_list: Process
@@ -166,31 +167,31 @@
         return [daemon for _, daemon in sorted(self.daemons_by_id.items())]
 
     def set_fault(self, process: Process, kind: str, **fields: object) -> None:
-        """Set a fault of a stand-in."""
+        """Set a fault at a stand-in; ``kind`` and ``fields`` are its JSON object."""
         post(process, "/faults", {"kind": kind, **fields})
 
     def clear_faults(self, process: Process) -> None:
-        """Clear a stand-in's faults and release what it holds."""
+        """Clear a stand-in's faults and release the answers that it holds back."""
         urllib3.request("DELETE", f"http://{process.address}/faults", retries=False)
 
 
 def post(process: Process, path: str, document: Mapping[str, object]) -> dict:
-    """Post JSON to a stand-in and return what it answers."""
+    """Post a JSON document to a stand-in and return the JSON answer."""
     url = f"http://{process.address}{path}"
     return urllib3.request("POST", url, json=document, retries=False).json()
 
 
 def get(process: Process, path: str) -> dict:
-    """Return a stand-in's answer as JSON."""
+    """Get a path from a process and return the JSON answer."""
     url = f"http://{process.address}{path}"
     return urllib3.request("GET", url, retries=False).json()
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    """Poll until the condition holds; fail after a generous bound."""
+    """Poll until the condition holds; fail after `WAIT_SECONDS`."""
     deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < deadline, f"waited in vain: {what}"
+        assert time.monotonic() < deadline, f"timed out waiting for: {what}"
         time.sleep(POLL_SECONDS)
 
 
@@ -203,7 +204,11 @@
     engine_options: tuple[str, ...] = (),
     configuration: Mapping[str, object] = CONFIGURATION,
 ) -> Iterator[Fleet]:
-    """Run a fleet whose daemons all serve, with entries and endpoints listed."""
+    """Run a fleet until the end of the block.
+
+    At its beginning the VM list holds every entry and endpoint, and every daemon is
+    ready and names as many entries to callers as there are, up to `ENTRIES`.
+    """
     with ExitStack() as stack:
         standins = _start_standins(stack, folder, engines, engine_options)
         key_value, vm_list, weights, service, *engine_processes = standins
@@ -244,7 +249,7 @@
 
 
 def put_configuration(key_value: Process, document: Mapping[str, object]) -> None:
-    """Store a first configuration, as an operator's apply would."""
+    """Store version 1 of the configuration, as an operator's apply would."""
     value = {"change_id": "first", "version": 1, "document": document}
     answer = urllib3.request(
         "PUT",
@@ -314,10 +319,10 @@
 
 def _wait_until_serving(fleet: Fleet) -> None:
     for daemon in fleet.daemons:
-        wait_for(lambda d=daemon: _knows_entries(d, len(fleet.daemons)), daemon.name)
+        wait_for(lambda d=daemon: _serves_entries(d, len(fleet.daemons)), daemon.name)
 
 
-def _knows_entries(daemon: Process, number: int) -> bool:
+def _serves_entries(daemon: Process, number: int) -> bool:
     base = f"http://{daemon.address}"
     if urllib3.request("GET", f"{base}/readyz", retries=False).status != 200:
         return False
