--- a/tests/transcript.py
+++ b/tests/transcript.py
@@ -1,8 +1,8 @@
 """Transcripts of whole sessions, compared with golden files.
 
-What the caller sends and receives stands in the file byte for byte, but for
-headers that HTTP itself varies and for named placeholders: ids, addresses, times.
-Write the files anew with ``UPDATE_GOLDEN=1`` and read the difference.
+A file holds byte for byte what the caller sends and receives. Exceptions are headers
+that vary in HTTP itself, which are left out, and ids, addresses and times, which are
+replaced by named placeholders. ``UPDATE_GOLDEN=1`` rewrites the files; review the diff.
 """
 
 import json
@@ -20,7 +20,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 GOLDEN_FOLDER = ROOT / "tests" / "golden" / "sessions"
 UPDATE_VARIABLE = "UPDATE_GOLDEN"
-# How the body is cut on the wire depends on timing, the body does not.
+# Left out of the transcript: the date, the server's name, and how the body was divided
+# on the wire, which depends on timing.
 VARYING_HEADERS = frozenset({"date", "transfer-encoding", "connection", "server"})
 READ_TIMEOUT_SECONDS = 60.0
 RUN_TIMEOUT_SECONDS = 120.0
@@ -29,8 +30,8 @@
 class Transcript:
     """Records one session.
 
-    ``names_by_text`` gives the placeholder for texts known beforehand, such as an
-    address; request ids are numbered as they appear.
+    ``names_by_text`` holds the placeholders for texts known beforehand, such as an
+    address. Request ids are numbered in the order of their appearance.
     """
 
     def __init__(self, names_by_text: Mapping[str, str]):
@@ -39,18 +40,19 @@
         self._lines: list[str] = []
 
     def name(self, text: str, name: str) -> None:
-        """Write ``<name>`` in place of ``text`` from here on."""
+        """Replace ``text`` by ``<name>`` in the whole transcript."""
         self._names_by_text[text] = name
 
     def mask(self, pattern: str, name: str) -> None:
-        """Write ``<name N>`` in place of the pattern's group 1, N by appearance.
+        """Replace group 1 of ``pattern`` by ``<name N>`` in the whole transcript.
 
-        For numbers that depend on what ran before on the same fleet.
+        N numbers the different values in the order of their appearance. This is for
+        numbers that depend on earlier sessions on the same fleet.
         """
         self._names_by_pattern[pattern] = name
 
     def note(self, text: str) -> None:
-        """Say what happens next, for the reader of the file."""
+        """Add a comment for the reader of the file, such as what happens next."""
         self._lines += [f"# {text}", ""]
 
     def send(
@@ -61,7 +63,7 @@
         body: object = None,
         headers: Mapping[str, str] | None = None,
     ) -> tuple[int, str]:
-        """Send a request, record it and its answer, and return status and body."""
+        """Send a request, record it with its answer, and return status and body."""
         text = (
             body if isinstance(body, str) else "" if body is None else json.dumps(body)
         )
@@ -111,14 +113,15 @@
         self, status: str, headers: list[tuple[str, str]], body: str
     ) -> None:
         kept = [
-            f"{name}: {self._shown(name, value, body)}"
+            f"{name}: {self._format_header(name, value, body)}"
             for name, value in sorted(headers)
             if name.lower() not in VARYING_HEADERS
         ]
         self._record("<", [status, *kept], body)
 
-    def _shown(self, name: str, value: str, body: str) -> str:
-        # It differs with the digits of a port; that it is right is checked here.
+    def _format_header(self, name: str, value: str, body: str) -> str:
+        # The length varies with the number of digits of a port in the body, so that
+        # it is checked here and replaced by a placeholder.
         if name == "Content-Length" and int(value) == len(body.encode()):
             return "<length of the body>"
         return value
@@ -135,7 +138,7 @@
             self.name(request_id, f"request {known + 1}")
 
     def text(self) -> str:
-        """Return the transcript with placeholders."""
+        """Return the transcript, with placeholders inserted."""
         text = "\n".join(self._lines)
         for known in sorted(self._names_by_text, key=len, reverse=True):
             pattern = rf"(?<![0-9A-Za-z]){re.escape(known)}(?![0-9A-Za-z])"
@@ -145,7 +148,7 @@
         return text
 
     def check(self, name: str) -> None:
-        """Compare with the golden file of this name."""
+        """Assert that the transcript equals the golden file of this name."""
         golden = GOLDEN_FOLDER / f"{name}.txt"
         if os.environ.get(UPDATE_VARIABLE):
             golden.parent.mkdir(parents=True, exist_ok=True)
