--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""What goes into the one-file program; building it is `make binary`."""
+"""The contents of the single-file program, which ``make binary`` builds."""
 
 import importlib.util
 from pathlib import Path
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback: caller, daemon, endpoint and back."""
+"""The whole path of a request on loopback: caller, daemon, endpoint and back."""
 
 from cranberrywick.demo import run_demo
 
@@ -8,7 +8,7 @@
 
     run_demo(lines.append)
 
-    told = "\n".join(lines)
-    assert "short prompt: 4 prompt tokens" in told
-    assert "long prompt: 400000 prompt tokens" in told
-    assert '"booking": 1' in told
+    output = "\n".join(lines)
+    assert "short prompt: 4 prompt tokens" in output
+    assert "long prompt: 400000 prompt tokens" in output
+    assert '"booking": 1' in output
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines as an operator's tools read them."""
+"""The format of log lines, which operators' tools parse."""
 
 import io
 import logging
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def log_lines():
-    """Collect logs and return a function that gives the lines without time."""
+    """Collect log lines; yield a function that returns them without their time."""
     stream = io.StringIO()
     with make_handler("info", stream).applicationbound():
         yield lambda: [line.split(" ", 1)[1] for line in stream.getvalue().splitlines()]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as a scraper receives them."""
+"""The metrics in the text that a scrape receives."""
 
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
@@ -8,7 +8,7 @@
 
 
 def samples(metrics):
-    """Return the rendered values by name and labels."""
+    """Return the rendered values by the metric's name and labels."""
     values = {}
     for family in text_string_to_metric_families(metrics.render().decode()):
         for name, labels, value, *_ in family.samples:
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The timer service under a clock that the tests drive."""
+"""The timer service with a clock that the tests control."""
 
 import threading
 
@@ -9,7 +9,7 @@
 
 
 class Clock:
-    """A clock that stands still until a test moves it."""
+    """A clock that shows the same time until a test sets another."""
 
     def __init__(self):
         self.now = 100.0
@@ -59,10 +59,11 @@
 
 
 def test_pause_is_not_made_up_for(timers):
-    """A daemon is stopped by SIGSTOP for a minute and goes on.
+    """Runs missed during a pause of the process are skipped.
 
-    Its heartbeat of one a second runs once and then each second again; sixty
-    heartbeats at once would tell peers nothing and load the platform.
+    After a minute of SIGSTOP, a heartbeat with an interval of one second runs once and
+    then every second again. Sixty heartbeats at once would load peers and the platform
+    without new content.
     """
     ran = []
     timers.every(1.0, lambda: ran.append(None))
@@ -71,10 +72,10 @@
 
 
 def test_failing_callback_is_logged_and_stops_no_other(timers):
-    """One part's callback raises; another part's deadline watch is due next.
+    """An exception in one callback does not keep the others from running.
 
-    The watch still runs, the failing one is run again at its next time, and the
-    log names the callback and the error.
+    The callback that is due next still runs, the failing one runs again after its
+    interval, and each failure is logged.
     """
     ran = []
 
