--- a/cranberrywick/routing/fleet_limits.py
+++ b/cranberrywick/routing/fleet_limits.py
@@ -33,8 +33,9 @@
 
 __all__ = ["LEAST_RATE", "FleetLimits", "Permit", "longest_permit_wait"]
 
-# Unused permits are kept for this many seconds of the rate and may be granted at once
-# later. One more permit than these is the most that an endpoint gets in a burst.
+# Unused permits accumulate up to the number that the rate yields in this many seconds,
+# and may be granted at once later. An endpoint gets at most one more than these in a
+# burst.
 BURST_SECONDS = 0.5
 # Lowest rate of permits, in requests a second, also for an endpoint that accepts fewer:
 # without any request, no answer could show that its limit has ended.
@@ -50,9 +51,9 @@
 class PermitTerms(NamedTuple):
     """The terms of a daemon's request for a permit.
 
-    ``rate`` is the endpoint's limit in requests a second, as recorded here,
-    ``live_share`` the share of the fleet that is known to be alive, and
-    ``longest_wait`` how many seconds the request would wait.
+    ``rate`` is the endpoint's limit in requests a second and ``live_share`` the share
+    of the fleet that is alive, both as known to the daemon that requests the permit.
+    ``longest_wait`` is for how many seconds at most its request would wait.
     """
 
     rate: float
--- a/cranberrywick/routing/health.py
+++ b/cranberrywick/routing/health.py
@@ -12,8 +12,8 @@
 __all__ = ["EndpointHealth"]
 
 # Cooldown after a failure, in seconds; it doubles with each failure in a row, up to the
-# maximum. By then the store shows that a dead endpoint is gone, which takes about three
-# of its heartbeats, a few seconds.
+# maximum. Cooldowns cover the time until the store shows that a dead endpoint is gone,
+# which takes about three of its heartbeats, a few seconds.
 COOLDOWN_SECONDS = 0.5
 MAX_COOLDOWN_SECONDS = 4.0
 # Weight of the newest outcome in the moving average of failures, which thus covers
--- a/cranberrywick/routing/placement.py
+++ b/cranberrywick/routing/placement.py
@@ -137,8 +137,8 @@
         """Return the placement of the request, or None while no slot is free.
 
         Of a large pool it compares a random sample only, so that None may mean that the
-        sampled endpoints are full. ``last_resort`` returns the endpoints to use if all
-        sampled endpoints are in a cooldown.
+        sampled endpoints are full. ``last_resort`` returns the endpoints to use if
+        there are none in the sample or all of them are in a cooldown.
         """
         sampled = self._candidates.sample(demand, usable, now)
         if all(each.cooling_down for each in sampled):
--- a/cranberrywick/routing/relays.py
+++ b/cranberrywick/routing/relays.py
@@ -1,13 +1,14 @@
 """Choice of the relays through which the daemons of a large fleet send updates.
 
 Load pattern: every daemon needs the jobs of all others, and which of them are alive,
-within milliseconds. If each sent its updates to all others, the datagrams would grow
-with the square of the fleet, and every added daemon would make all others receive more.
-Here a large fleet has a relay in each failure domain. A daemon sends its updates to the
-relay of its own domain, which collects updates for some milliseconds and forwards them
-to the daemons of its domain and to the relays of the other domains, which forward them
-in the same way. A daemon then receives one datagram in each of these intervals, however
-many daemons there are, and an update crosses the border between two domains once.
+within a fraction of a second. If each sent its updates to all others, the datagrams
+would grow with the square of the fleet, and every added daemon would make all others
+receive more. Here a large fleet has a relay in each failure domain. A daemon sends its
+updates to the relay of its own domain, which collects updates for some milliseconds and
+forwards them to the daemons of its domain and to the relays of the other domains, which
+forward them in the same way. A daemon then receives one datagram in each of these
+intervals, however many daemons there are, and an update crosses the border between two
+domains once.
 
 There is no election: each daemon chooses the first daemon of the domain by id that is
 not silent, and any daemon that receives updates to forward does so. If two daemons
--- a/cranberrywick/routing/retry_after.py
+++ b/cranberrywick/routing/retry_after.py
@@ -22,12 +22,13 @@
 # Retry time in seconds while a daemon starts: its first read of the store takes some
 # milliseconds.
 STARTING_SECONDS = 0.3
-# Shortest retry time for a service without endpoints, in seconds. By then another
+# Shortest estimate for a service without endpoints, in seconds. By then another
 # snapshot of the store has arrived, and an endpoint that is starting has registered.
 MIN_SECONDS = 1.0
 # The same while the store does not answer either, so that no endpoint can register.
 LEAST_SECONDS_WITHOUT_STORE = 2.0
-# Longest retry time, in seconds: callers wait no longer than this.
+# Longest estimate, in seconds, before the random deviation: callers wait no longer than
+# this.
 MAX_SECONDS = 10.0
 # Largest random deviation from the estimated time, as a share of it.
 SPREAD = 0.25
--- a/cranberrywick/routing/table.py
+++ b/cranberrywick/routing/table.py
@@ -42,7 +42,8 @@
     def identify(self, route: Route, key: str | None) -> Organisation | None:
         """Return the organisation that sends the request; raises `Unauthorised`.
 
-        Return None if keys are not checked, or for an unknown key on a public route.
+        Return None if keys are not checked, or if the key is missing or unknown on a
+        public route.
         """
         by_key = self.configuration.organisations_by_key
         if by_key is None:
--- a/cranberrywick/routing/usable.py
+++ b/cranberrywick/routing/usable.py
@@ -33,9 +33,9 @@
     ``out_since_by_domain`` has the failure domains that operators have taken out, each
     with the earliest time at which that may have happened. The store acknowledges a
     change before any daemon reads it, so this is the time of the last snapshot without
-    it; minus infinity if there was none. ``drain_seconds`` and ``evacuate_seconds``
-    are for how long after that a draining endpoint and one in such a domain may get new
-    work.
+    it; minus infinity if there was none. An endpoint may get new work for
+    ``drain_seconds`` after the last time at which it was known not to be draining, and
+    for ``evacuate_seconds`` after its domain was taken out.
     """
 
     out_since_by_domain: Mapping[str, float]
