--- a/cranberrywick/gateway/app.py
+++ b/cranberrywick/gateway/app.py
@@ -180,7 +180,7 @@
 
 
 def run_gateway(settings_path: str | None = None) -> None:
-    """Run the daemon until it is told to stop by a signal.
+    """Run the daemon until SIGTERM or SIGINT stops it.
 
     ``settings_path`` is the settings file. Raises `InvalidSettings` if it can't be
     used.
--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -186,7 +186,8 @@
     def _record_first_event(self, exchange: Exchange) -> None:
         """Mark the request's jobs as decoding: its prompt has been read.
 
-        Other requests may now fit at the same endpoints, so waiting ones are tried.
+        The jobs of helpers that hold no memory have ended and are dropped. Other
+        requests may now fit at the same endpoints, so waiting ones are tried.
         """
         now = self._loop.time()
         if exchange.first_event_at is None:
--- a/cranberrywick/gateway/peer_updates.py
+++ b/cranberrywick/gateway/peer_updates.py
@@ -42,10 +42,10 @@
 # Interval between two checks for silent daemons, in seconds; a tenth of the shortest
 # time after which a daemon counts as silent.
 SILENCE_CHECK_SECONDS = 0.2
-# Longest delay of the update that a job has ended, in seconds for each known daemon. In
-# a larger fleet the update goes to more daemons, and a place that counts as occupied
-# for a moment longer costs less than a datagram to each of them. With relays the update
-# costs one datagram and waits no longer than `FLUSH_SECONDS`.
+# Longest delay of the update that a job is decoding or has ended, in seconds for each
+# known daemon. In a larger fleet the update goes to more daemons, and a slot that
+# counts as occupied for a moment longer costs less than a datagram to each of them.
+# With relays the update costs one datagram and waits no longer than `FLUSH_SECONDS`.
 ENDED_UPDATE_SECONDS_PER_MEMBER = 0.004
 
 
@@ -122,7 +122,7 @@
             settings, self.members, self._is_leaving, self._loop.time
         )
         self._relaying = HeartbeatRelaying(settings, self._recipients, self._send)
-        # Peers heard from for the first time and not logged yet.
+        # Ids of peers whose first heartbeat was received and is not logged yet.
         self._new_ids: list[str] = []
         self._next_heartbeat: asyncio.TimerHandle | None = None
 
@@ -141,7 +141,7 @@
 
     @property
     def has_received_all(self) -> bool:
-        """Whether there are registered daemons and all of them were heard from."""
+        """Whether the registered daemons are known and all have sent a heartbeat."""
         recipients = self._recipients
         return bool(recipients.registered_addresses) and not recipients.unheard_peers()
 
@@ -163,7 +163,7 @@
         self._send_heartbeat_within(JOB_UPDATE_SECONDS)
 
     def job_ended(self) -> None:
-        """Schedule a heartbeat after the end of a job.
+        """Schedule a heartbeat after a job has begun to decode or has ended.
 
         It may wait longer than after a new job; see `ENDED_UPDATE_SECONDS_PER_MEMBER`.
         """
@@ -256,8 +256,8 @@
 
     def _receive(self, envelope: Envelope, source: str) -> None:
         self._handle_message(envelope, source)
-        # Logged together: when a whole fleet starts, each daemon hears from all others
-        # for the first time within a moment.
+        # Logged together: when a whole fleet starts, each daemon receives the first
+        # heartbeats of all others within a moment.
         for listed in id_lists(self._new_ids):
             self._log.info("peer_met", peer=listed)
         self._new_ids.clear()
--- a/cranberrywick/gateway/permits.py
+++ b/cranberrywick/gateway/permits.py
@@ -83,7 +83,7 @@
         return Admission(True, steward_id)
 
     def handle_request(self, request: PermitRequest, source: str) -> None:
-        """Handle a peer's request for a permit of which this daemon is the steward."""
+        """Grant or refuse a peer a permit, for an endpoint whose steward this is."""
         now = self._loop.time()
         change = self._limits.receive(request.limit)
         if change is not None:
--- a/cranberrywick/gateway/recipients.py
+++ b/cranberrywick/gateway/recipients.py
@@ -12,7 +12,7 @@
 
 
 class Recipients:
-    """Selects addresses by the daemons that are known, alive and relays.
+    """Selects addresses, by which daemons are known, are alive and are relays.
 
     ``is_leaving`` returns whether this daemon itself accepts no callers; a leaving
     daemon is not chosen as a relay. ``clock`` returns the time in seconds.
@@ -74,7 +74,7 @@
         return {m.heartbeat.peer_address for m in heard} | self.unheard_peers()
 
     def unheard_peers(self) -> set[str]:
-        """Return the addresses of registered daemons not heard from so far.
+        """Return the addresses of registered daemons that have sent no heartbeat yet.
 
         While no daemon is known, these are the seeds that the settings name.
         """
--- a/cranberrywick/gateway/state.py
+++ b/cranberrywick/gateway/state.py
@@ -350,8 +350,7 @@
         was_ready = self.ready
         if not self._operator.apply(view, read_at, source):
             return False
-        # Peers that lack this view learn from the heartbeat that they can fetch it
-        # here.
+        # The heartbeat shows peers that lack this view that they can fetch it here.
         self.peer_updates.send_heartbeat()
         self._handle_change(was_ready)
         return True
--- a/cranberrywick/gateway/upstream.py
+++ b/cranberrywick/gateway/upstream.py
@@ -4,7 +4,7 @@
 request, such as a late second answer or bytes after the end of the body, could be read
 as the answer to the next one; and a reset on a reused connection leaves open whether
 the endpoint had read the new request. With one connection for each attempt, all bytes
-on it belong to one request, and closing it tells the endpoint that the caller no longer
+on it belong to one request, and closing it shows the endpoint that the caller no longer
 waits.
 """
 
