--- a/tests/gateway_soak.py
+++ b/tests/gateway_soak.py
@@ -173,7 +173,8 @@
     def run(self, seconds: float) -> None:
         """Send requests and cause faults for ``seconds``, then wait for recovery.
 
-        Fails if a gateway does not serve again after the last fault was undone.
+        Fails if not all gateways serve again within `RECOVERY_SECONDS` after the last
+        fault was undone.
         """
         callers = [
             threading.Thread(target=self._send_requests, args=(random.Random(number),))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -219,7 +219,7 @@
         assert 0.5 < time.monotonic() - started < 2.0
 
     def test_the_log_names_the_endpoint_at_which_a_request_timed_out(self, fleet):
-        """Operators can find the endpoint at which a request hung by its request id.
+        """Guards against logs that don't show where the request with an id hung.
 
         The endpoint never answers, so only the gateway's log line can name it.
         """
@@ -316,7 +316,7 @@
         ("target", "headers"), [("/books/1", {}), ("/prompts/1", PROMPT_HEADERS)]
     )
     def test_their_work_ends(self, fleet, target, headers):
-        """Guards against endpoints that work on answers which nobody will read.
+        """Guards against endpoints that work on answers which no caller will read.
 
         The caller closes its connection while an endpoint works. The gateway closes
         its connection to the endpoint, which then drops the request.
@@ -337,7 +337,7 @@
 
 class TestLongPrompts:
     def test_memory_of_a_second_engine_is_reserved_and_released(self, fleet):
-        """A prompt that exceeds the memory of one engine is answered.
+        """Guards against failed prompts that exceed one engine's memory, and leaks.
 
         Half of the memory is reserved at a second engine while the answer is written,
         and released at its end.
@@ -522,7 +522,7 @@
         )
 
     def test_an_endpoint_that_took_over_an_address_runs_nothing(self, fleet):
-        """Guards against requests that run at an endpoint they were not sent to.
+        """Guards against requests that run at another endpoint than the intended one.
 
         The address of a record now belongs to another endpoint. The request names the
         intended endpoint, so that the other one refuses it, and the gateway sends it
@@ -593,7 +593,7 @@
             assert stopping.process.wait(10) == 0
 
     def test_a_gateway_without_a_configuration_answers_503(self, tmp_path):
-        """Guards against callers that are told that their route does not exist.
+        """Guards against a 404 for a route that is only not known yet.
 
         The gateway has just started and the store refuses it, so the routes are not
         known. The answer is 503 with Retry-After instead of 404.
--- a/tests/test_peer_updates.py
+++ b/tests/test_peer_updates.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("size", [9, 40, 80])
 def test_a_new_job_is_known_everywhere_within_150_ms(size):
-    """Guards against daemons that send more requests to an engine just occupied.
+    """Guards against daemons that send long prompts to an engine which just got one.
 
     Through two relays the update takes two flush intervals and a few hops.
     """
@@ -71,7 +71,8 @@
 def test_a_large_idle_fleet_sends_few_datagrams():
     """Guards against traffic that grows with the square of the fleet's size.
 
-    Without relays each of 80 idle daemons receives 78 datagrams a second.
+    Without relays each of 80 idle daemons would receive a heartbeat from 79 others
+    every 0.48 s, about 165 datagrams a second.
     """
 
     async def scene(network, daemons):
@@ -133,7 +134,11 @@
 
 
 def test_a_relay_that_was_cut_off_works_again():
-    """A relay is cut off for three seconds; its domain's updates arrive afterwards."""
+    """Guards against updates that stay lost after a relay was cut off for a while.
+
+    The relay is cut off for three seconds. Updates from it and from its domain arrive
+    afterwards.
+    """
 
     async def scene(network, daemons):
         relay, sender = daemons[0], daemons[3]
@@ -152,7 +157,10 @@
 
 
 def test_no_daemon_counts_as_dead_on_a_lossy_network():
-    """One datagram in thirty is lost; every daemon still counts as serving."""
+    """Guards against daemons that count as dead since some heartbeats were lost.
+
+    One datagram in thirty is lost.
+    """
 
     async def scene(network, daemons):
         network.loss = 1 / 30
@@ -195,7 +203,11 @@
 
 
 def test_a_newcomer_is_known_to_all_and_knows_all():
-    """A VM is replaced by one at another address, in a running fleet."""
+    """Guards against a new daemon that part of a running fleet does not know.
+
+    It has an id and an address that the fleet has not seen, as after the replacement
+    of a VM, and reads the members' addresses from the store.
+    """
 
     async def scene(network, daemons):
         newcomer = SimulatedDaemon(network, "d999", "fd-b")
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -361,14 +361,20 @@
         assert prefill_time(profile, 154_000, 4) == pytest.approx(whole / 4)
 
     def test_reading_harms_answers_whose_pauses_it_makes_too_long(self, profile):
-        """A pause is the whole pass: its steps and all prefill in it."""
+        """Guards against prefill that makes the pauses of an answer too long.
+
+        A pause is the whole pass: its steps and all prefill in it.
+        """
         writer = Job("e1", 5000, 0.03, 0.0, 0.0, decoding=True, gap_seconds=0.25)
         engine = forecast(profile, [writer], 1.0)
         assert engine.interference(0.1) == 0
         assert engine.interference(0.3) == 1
 
     def test_parts_of_joint_prompts_are_read_first(self, profile):
-        """A helper's part delays a waiting prompt; a later whole prompt does not."""
+        """Guards against a forecast that takes parts for read in order of arrival.
+
+        A helper's part delays a waiting prompt; a later whole prompt does not.
+        """
         waiting = Job("e1", 5000, 0.5, 0.0, 0.5, due_at=1.0)
         engine = forecast(profile, [waiting], 0.0)
         assert engine.interference(0.8, joint=True) == 1 + DELAY_PRICE * 0.8
@@ -386,7 +392,10 @@
         assert engine.interference(0.5, joint=True) == 1 + DELAY_PRICE * 0.5
 
     def test_a_prompt_that_is_late_already_is_not_overtaken_for_nothing(self, profile):
-        """Its caller still waits: an engine where no prompt waits is the better one."""
+        """Guards against parts that overtake a late prompt again and again.
+
+        Its caller still waits: an engine where no prompt waits is the better one.
+        """
         late = Job("e1", 5000, 0.5, 0.0, 0.5, due_at=0.1, value=20.0)
         engine = forecast(profile, [late], 0.0)
         assert 0 < engine.interference(0.5, joint=True) < late.value
@@ -408,7 +417,10 @@
         assert engine.interference(0.3, joint=True) == DELAY_PRICE * 0.3
 
     def test_a_part_goes_ahead_of_all_that_waits(self, profile):
-        """A part waits for its own prefill only, a whole prompt for all others' too."""
+        """Guards against forecasts that make a part wait for other prefill.
+
+        A part waits for its own prefill only, a whole prompt for all others' too.
+        """
         alone = Job("e1", 5000, 0.6, 0.0, 0.6)
         part = Job("e1", 0, 0.5, 0.0, 0.5, helper=True, joint=True)
         engine = forecast(profile, [alone, part], 0.2)
