--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -305,7 +305,10 @@
         return error.type
 
     async def _forward_failure(self, exchange: Exchange, error: EndpointFailed) -> str:
-        """Forward the endpoint's own error answer: the gateway's would say less."""
+        """Forward the endpoint's own error answer, and return the outcome for the log.
+
+        It contains more about the failure than an answer of the gateway would.
+        """
         try:
             await error.answer.send_to(exchange.caller)
         except ConnectionError:
--- a/cranberrywick/gateway/operator_tracker.py
+++ b/cranberrywick/gateway/operator_tracker.py
@@ -59,9 +59,10 @@
         return False
 
     def apply(self, view: OperatorView, read_at: float, source: str) -> bool:
-        """Apply a view that was the newest at ``read_at``; return whether it changed.
+        """Apply a view; return whether it changed anything.
 
-        ``source`` names where the view comes from, for the log.
+        The view was the newest at ``read_at``. ``source`` names where it comes from,
+        for the log.
         """
         own = self.view
         if own is not None and view.revision < own.revision:
--- a/cranberrywick/gateway/peer_fetches.py
+++ b/cranberrywick/gateway/peer_fetches.py
@@ -40,11 +40,11 @@
     ) -> None:
         """Start a fetch in the background, unless one of the same kind is under way.
 
-        ``addresses`` is called for each try and returns the peers that may be asked;
-        if there are none, the fetch ends. ``apply_answer`` is called with the answer,
-        the address that it came from and the moment of the request, which is the latest
-        moment for which the answer is certain to hold. It may raise
-        `PeerMessageInvalid`, which leads to another try.
+        ``addresses`` is called for each try and returns the addresses of peers that
+        may have the snapshot; if there are none, the fetch ends. ``apply_answer`` is
+        called with the answer, the address that it came from and the moment of the
+        request, which is the latest moment for which the answer is certain to hold. It
+        may raise `PeerMessageInvalid`, which leads to another try.
         """
         if type(request) in self._running:
             return
--- a/cranberrywick/gateway/peer_updates.py
+++ b/cranberrywick/gateway/peer_updates.py
@@ -303,8 +303,8 @@
     def _answers_newcomers(self, scope: Scope) -> bool:
         """Whether this daemon answers a newcomer.
 
-        In a large fleet only the relays do, and the daemons that a newcomer has asked
-        to forward its heartbeat to the whole fleet.
+        In a large fleet only the relays do, and the daemons that received the
+        newcomer's heartbeat with the scope FLEET.
         """
         if scope is Scope.FLEET or not self._recipients.has_relays:
             return True
--- a/cranberrywick/routing/endpoint_index.py
+++ b/cranberrywick/routing/endpoint_index.py
@@ -113,7 +113,7 @@
         )
 
     def others(self, service: str, domains_out: Set[str]) -> EndpointPool:
-        """Return the endpoints of a service that are draining or taken out."""
+        """Return a service's endpoints that are draining or in a domain taken out."""
         return self._pool(
             service, lambda key: key.draining or key.failure_domain in domains_out
         )
--- a/cranberrywick/routing/placement.py
+++ b/cranberrywick/routing/placement.py
@@ -82,9 +82,10 @@
     """The endpoint that answers, its helpers, and the jobs to count at each of them.
 
     ``first_event_seconds`` is the predicted time until the answer's first event.
-    ``last_resort`` says that the endpoints are draining or taken out, and are used only
-    since no other answers. If the answering endpoint has a rate limit, the request
-    should wait for its permit up to ``longest_wait`` seconds.
+    ``last_resort`` says that each endpoint is draining or in a failure domain taken
+    out, and is used only since the sample holds no endpoint outside a cooldown. If the
+    answering endpoint has a rate limit, the request should wait for its permit up to
+    ``longest_wait`` seconds.
     """
 
     endpoint_id: str
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -18,8 +18,8 @@
 async def limit(fleet, rate, call_rate=None):
     """Start callers and, a second later, limit every endpoint to ``rate``.
 
-    Both rates are in requests a second. Without a ``call_rate`` callers send
-    `OVERLOAD` times as much as the limit allows.
+    Both rates are in requests a second for each endpoint. Without a ``call_rate``
+    callers send `OVERLOAD` times as much as the limit allows.
     """
     fleet.start_callers(call_rate or OVERLOAD * rate)
     await asyncio.sleep(1.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -337,7 +337,7 @@
 
 class TestLongPrompts:
     def test_memory_of_a_second_engine_is_reserved_and_released(self, fleet):
-        """Guards against failed prompts that exceed one engine's memory, and leaks.
+        """Guards against failures of prompts that exceed the memory of one engine.
 
         Half of the memory is reserved at a second engine while the answer is written,
         and released at its end.
