--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -307,7 +307,7 @@
     async def _forward_failure(self, exchange: Exchange, error: EndpointFailed) -> str:
         """Forward the endpoint's own error answer, and return the outcome for the log.
 
-        It contains more about the failure than an answer of the gateway would.
+        The endpoint's answer contains more about the failure than the gateway's would.
         """
         try:
             await error.answer.send_to(exchange.caller)
--- a/tests/test_peer_updates.py
+++ b/tests/test_peer_updates.py
@@ -206,7 +206,7 @@
     """Guards against a new daemon that part of a running fleet does not know.
 
     It has an id and an address that the fleet has not seen, as after the replacement
-    of a VM, and reads the members' addresses from the store.
+    of a VM, and gets the members' addresses as if it had read them from the store.
     """
 
     async def scene(network, daemons):
