--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -186,7 +186,8 @@
     def _record_first_event(self, exchange: Exchange) -> None:
         """Mark the request's jobs as decoding: its prompt has been read.
 
-        Other requests may now fit at the same endpoints, so waiting ones are tried.
+        The jobs of helpers that hold no memory have ended and are dropped. Other
+        requests may now fit at the same endpoints, so waiting ones are tried.
         """
         now = self._loop.time()
         if exchange.first_event_at is None:
@@ -304,7 +305,10 @@
         return error.type
 
     async def _forward_failure(self, exchange: Exchange, error: EndpointFailed) -> str:
-        """Forward the endpoint's own error answer: the gateway's would say less."""
+        """Forward the endpoint's own error answer, and return the outcome for the log.
+
+        The endpoint's answer contains more about the failure than the gateway's would.
+        """
         try:
             await error.answer.send_to(exchange.caller)
         except ConnectionError:
--- a/cranberrywick/routing/placement.py
+++ b/cranberrywick/routing/placement.py
@@ -82,9 +82,10 @@
     """The endpoint that answers, its helpers, and the jobs to count at each of them.
 
     ``first_event_seconds`` is the predicted time until the answer's first event.
-    ``last_resort`` says that the endpoints are draining or taken out, and are used only
-    since no other answers. If the answering endpoint has a rate limit, the request
-    should wait for its permit up to ``longest_wait`` seconds.
+    ``last_resort`` says that each endpoint is draining or in a failure domain taken
+    out, and is used only since the sample holds no endpoint outside a cooldown. If the
+    answering endpoint has a rate limit, the request should wait for its permit up to
+    ``longest_wait`` seconds.
     """
 
     endpoint_id: str
@@ -137,8 +138,8 @@
         """Return the placement of the request, or None while no slot is free.
 
         Of a large pool it compares a random sample only, so that None may mean that the
-        sampled endpoints are full. ``last_resort`` returns the endpoints to use if all
-        sampled endpoints are in a cooldown.
+        sampled endpoints are full. ``last_resort`` returns the endpoints to use if
+        there are none in the sample or all of them are in a cooldown.
         """
         sampled = self._candidates.sample(demand, usable, now)
         if all(each.cooling_down for each in sampled):
