--- a/cranberrywick/standin/__init__.py
+++ b/cranberrywick/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, for tests and demonstrations."""
+"""Stand-ins for external systems, for tests and demonstrations."""
--- a/cranberrywick/standin/engine.py
+++ b/cranberrywick/standin/engine.py
@@ -1,22 +1,25 @@
-"""A model engine: streams, cache, exports and imports, orders, and faults.
+"""A stand-in for a model engine, served over HTTP.
 
-Beside the faults of every stand-in it knows, for the next ``count`` answers:
+It has streams, a prefix cache, exports and imports, orders and faults. In addition
+to the faults of every stand-in (see `cranberrywick.standin.server`), these kinds
+apply to the next ``count`` answers:
 
 ============= =============================================================
-drop_stream   break the connection after event ``after``
-cut_stream    end the answer cleanly after event ``after``, with no end mark
+drop_stream   close the connection after event ``after``
+cut_stream    end the body properly after event ``after``, without ``[DONE]``
 skip_event    leave out event ``event``
 repeat_event  send event ``event`` twice
 cross_event   send event ``event`` with another request's id
-cross         answer with the ids of another request
+cross         answer with the request id and attempt of another request
 no_usage      leave the token count out
-refuse        answer 503 with the ``reason`` cold, leaving or full, not run
-lose_cancel   answer a cancel without doing it
+refuse        answer 503 with ``reason`` cold, leaving or full; do not run it
+lose_cancel   confirm a cancellation without cancelling
 ============= =============================================================
 
-and, at once: ``turn_cold``, ``turn_warm``, ``turn_leaving``, ``slow_factor`` (with
-``factor``), ``fall_over``, ``cache_gap`` (with ``count``), ``die`` (end the
-process).
+These kinds take effect at once: ``turn_cold``, ``turn_warm``, ``turn_leaving``,
+``slow_factor`` (multiply all durations by ``factor``), ``fall_over`` (lose all
+streams and memory and restart cold), ``cache_gap`` (lose the next ``count`` cache
+events) and ``die`` (end the process).
 """
 
 import os
@@ -52,12 +55,12 @@
 
 __all__ = ["EngineSettings", "EngineStandIn", "engine_command", "start"]
 
-# One thread for each stream and for each call that waits.
+# Server threads. Each stream and each call that waits occupies one.
 THREADS = 96
 
 
 class EngineStandIn(StandIn):
-    """The HTTP side of `EngineCore`."""
+    """HTTP interface of an `EngineCore`."""
 
     def __init__(self, settings: EngineSettings | None = None):
         super().__init__()
@@ -77,21 +80,21 @@
         )
 
     def handle(self, request: Request) -> Answer:
-        """Answer one call of the engine's interface."""
+        """Answer one call of the engine's interface, 404 for an unknown path."""
         for path, route in self._routes:
             if request.path == path or request.path.startswith(f"{path}/"):
                 return route(request)
         return json_answer(404, {"error": {"type": "not_found"}})
 
     def answer(self, request: Request) -> Answer:
-        """Apply the engine's own faults at once, leave the others to the base."""
+        """Apply a fault that takes effect at once, or answer as the base does."""
         if request.path == "/faults" and request.method == "POST":
             if self._apply(request.json()):
                 return json_answer(200, self.faults.describe())
         return super().answer(request)
 
     def stopping(self) -> None:
-        """Let the threads that wait for tokens go."""
+        """Wake the threads that wait for tokens."""
         self.core.close()
 
     def _apply(self, fault: dict) -> bool:
@@ -132,7 +135,7 @@
         self.core.reading(generation, 1)
         try:
             if not self.core.wait_for_token(generation, last):
-                return Answer(200, _broken(), (("Content-Length", "1"), *headers))
+                return Answer(200, _broken_body(), (("Content-Length", "1"), *headers))
         finally:
             self.core.reading(generation, -1)
         return json_answer(200, whole_answer(generation), *headers)
@@ -242,10 +245,10 @@
                 return json_answer(409, {"fence": self.highest_fence})
             self.highest_fence = max(self.highest_fence, order["fence"])
             self.orders.append(order)
-            self._obey(order)
+            self._execute_order(order)
             return json_answer(200, {"incarnation": self.core.incarnation})
 
-    def _obey(self, order: dict) -> None:
+    def _execute_order(self, order: dict) -> None:
         core = self.core
         if order["order"] == "set_role":
             core.role = order["role"]
@@ -274,7 +277,7 @@
     return Answer(200, events, (("Content-Type", "text/event-stream"), *headers))
 
 
-def _broken() -> Iterator[bytes]:
+def _broken_body() -> Iterator[bytes]:
     raise BrokenAnswer
     yield b""
 
@@ -282,7 +285,7 @@
 def start(
     settings: EngineSettings | None = None, listen: str = "127.0.0.1:0"
 ) -> RunningStandIn:
-    """Serve a new engine on a thread of this process."""
+    """Serve a new engine on a thread of this process and return it."""
     return start_standin(EngineStandIn(settings), listen, THREADS)
 
 
--- a/cranberrywick/standin/engine_answers.py
+++ b/cranberrywick/standin/engine_answers.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's requests and answers, as they go over the wire."""
+"""Decoding of requests and encoding of answers of the engine stand-in."""
 
 import json
 from typing import NamedTuple
@@ -9,13 +9,15 @@
 
 __all__ = ["NO_EVENT", "StreamFaults", "event", "read_prompt", "whole_answer"]
 
+# Length of the answer to a request that sets no limit.
 DEFAULT_OUTPUT_TOKENS = 16
-# No event has this number, nor the one after it.
+# Stands for "no event". Neither -2 nor the number after it, -1, is an event's
+# number: `EngineStandIn` compares with the number of the event before, too.
 NO_EVENT = -2
 
 
 class StreamFaults(NamedTuple):
-    """The faults that one streamed answer suffers, by the number of the event."""
+    """Faults of one streamed answer, each with the number of the event it affects."""
 
     drop_after: int = NO_EVENT
     cut_after: int = NO_EVENT
@@ -26,7 +28,7 @@
 
 
 def read_prompt(request: Request, body: dict) -> Prompt:
-    """Read what a request asks for from its headers and its parsed body."""
+    """Return the prompt that a request's headers and parsed JSON body describe."""
     measured = measure_prompt(body)
     limited = "max_tokens" in body or "max_completion_tokens" in body
     imports = request.headers.get("x-cache-id", "")
@@ -43,7 +45,10 @@
 
 
 def event(generation: Generation, number: int, faults: StreamFaults) -> bytes:
-    """Return event ``number``; the one after the last token ends the answer."""
+    """Return server-sent event ``number``, which carries token ``number``.
+
+    The event after the last token carries the finish reason and the token count.
+    """
     prompt = generation.prompt
     stream_id = "another.1" if number == faults.cross else prompt.stream_id
     chunk = {"id": stream_id, "object": "chat.completion.chunk"}
@@ -58,7 +63,7 @@
 
 
 def whole_answer(generation: Generation) -> dict:
-    """Return the body of an answer that is not streamed."""
+    """Return the JSON body of an answer that is not streamed."""
     prompt = generation.prompt
     content = "".join(f"w{number} " for number in range(prompt.output_tokens))
     message = {"role": "assistant", "content": content}
--- a/cranberrywick/standin/engine_memory.py
+++ b/cranberrywick/standin/engine_memory.py
@@ -1,4 +1,4 @@
-"""The memory of the engine stand-in: prefix cache, exports and imports."""
+"""Memory of the engine stand-in: prefix cache, exports and imports."""
 
 import itertools
 import time
@@ -9,14 +9,16 @@
 
 __all__ = ["PrefixCache", "Reservation", "Reservations"]
 
-# How many cache events are kept for those who poll.
+# Number of cache events kept for pollers.
 EVENTS_KEPT = 10_000
 
 
 class PrefixCache:
-    """Keys of cached blocks, least recently used first out.
+    """Keys of cached blocks of prompts, evicted by least recent use.
 
-    Not thread-safe; the engine calls it under its own lock.
+    Not thread-safe; the engine calls it with its own lock held. ``seq`` counts the
+    events (a block added or dropped). The next ``events_to_lose`` events are not
+    kept for pollers, who see a gap in the sequence.
     """
 
     def __init__(self, capacity_tokens: int):
@@ -28,16 +30,16 @@
 
     @property
     def keys(self) -> list[str]:
-        """The cached keys."""
+        """The cached keys, least recently used first."""
         return list(self._keys)
 
     def hit_tokens(self, keys: tuple[str, ...]) -> int:
-        """Return how many leading tokens of a prompt are cached."""
+        """Return how many leading tokens of a prompt are cached, given its keys."""
         hits = itertools.takewhile(self._keys.__contains__, keys)
         return PREFIX_BLOCK_TOKENS * len(list(hits))
 
     def add(self, keys: tuple[str, ...]) -> None:
-        """Cache a prompt's blocks, dropping others to make room."""
+        """Cache a prompt's blocks, dropping the least recently used to make room."""
         for key in keys:
             if key in self._keys:
                 self._keys.move_to_end(key)
@@ -49,12 +51,12 @@
             self._publish("drop", dropped)
 
     def clear(self) -> None:
-        """Forget everything, as a restart does; no event tells of it."""
+        """Drop all keys and events, as a restart does, without an event."""
         self._keys.clear()
         self._events.clear()
 
     def events_after(self, seq: int) -> list[dict]:
-        """Return the events after ``seq`` that were not lost."""
+        """Return the kept events after ``seq``."""
         return [event for event in self._events if event["seq"] > seq]
 
     def _publish(self, operation: str, key: str) -> None:
@@ -67,10 +69,11 @@
 
 @dataclass(frozen=True)
 class Reservation:
-    """Memory kept for an export or import; times are on the monotonic clock.
+    """Memory reserved for an export or import.
 
-    ``source`` names the export that an import reads; such an import takes no
-    memory here, for the other engine holds it.
+    ``expires_at`` is on the monotonic clock, in seconds. ``source`` names the export
+    that an import reads; such an import uses no memory here, as the other engine
+    holds it.
     """
 
     reservation_id: str
@@ -81,7 +84,10 @@
 
 
 class Reservations:
-    """Exports or imports by id. Not thread-safe."""
+    """Exports or imports by id. Not thread-safe.
+
+    Ids are ``prefix`` and a running number.
+    """
 
     def __init__(self, prefix: str):
         self._prefix = prefix
@@ -90,13 +96,13 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of memory held."""
+        """Tokens of memory reserved here."""
         return sum(held.tokens for held in self._by_id.values() if not held.source)
 
     def add(
         self, owner: str, tokens: int, ttl_seconds: float, source: str = ""
     ) -> Reservation:
-        """Keep memory for ``owner``."""
+        """Reserve memory for ``owner``, for ``ttl_seconds``."""
         held = Reservation(
             f"{self._prefix}{next(self._numbers)}",
             owner,
@@ -108,22 +114,22 @@
         return held
 
     def get(self, reservation_id: str) -> Reservation | None:
-        """Return one that is still held."""
+        """Return a reservation, or None when it has ended."""
         return self._by_id.get(reservation_id)
 
     def remove(self, reservation_id: str) -> bool:
-        """Give memory back; say whether it was held."""
+        """End a reservation; return whether there was one."""
         return self._by_id.pop(reservation_id, None) is not None
 
     def expire(self) -> None:
-        """Give back what has outlived its time."""
+        """End the reservations whose time is over."""
         now = time.monotonic()
         for held in list(self._by_id.values()):
             if held.expires_at <= now:
                 self.remove(held.reservation_id)
 
     def describe(self) -> list[dict]:
-        """List what is held."""
+        """Return the reservations as JSON objects."""
         now = time.monotonic()
         return [
             {
@@ -136,5 +142,5 @@
         ]
 
     def clear(self) -> None:
-        """Forget everything, as a restart does."""
+        """End all reservations, as a restart does."""
         self._by_id.clear()
--- a/cranberrywick/standin/faults.py
+++ b/cranberrywick/standin/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test sets on a stand-in to force the order of events."""
+"""Faults that a test sets on a stand-in, some to force an order of events."""
 
 import threading
 from collections import Counter
@@ -6,12 +6,17 @@
 
 __all__ = ["Fault", "Faults"]
 
-# A held request is let go after this long even when a test forgets to release it.
+# Longest time a request is held, in seconds, in case a test never releases it.
 HOLD_LIMIT_SECONDS = 60.0
 
 
 class Fault(NamedTuple):
-    """One fault in force; ``remaining`` is None until it is cleared."""
+    """One fault in force.
+
+    It applies to requests whose path starts with ``path``: to the next ``remaining``
+    of them, or to all until it is cleared when that is None. ``details`` are the
+    further parameters of its kind.
+    """
 
     kind: str
     remaining: int | None = None
@@ -21,10 +26,10 @@
 
 
 class Faults:
-    """The faults in force and the requests held by them."""
+    """The faults in force and the requests held by them; thread-safe."""
 
     def __init__(self):
-        # Guards every attribute and wakes both holders and those who wait for one.
+        # Guards every attribute; wakes held requests and the callers of `wait_held`.
         self._changed = threading.Condition()
         self._faults: list[Fault] = []
         self._held_by_kind: Counter[str] = Counter()
@@ -40,12 +45,18 @@
         path: str = "",
         **details: object,
     ) -> None:
-        """Put a fault in force."""
+        """Put a fault in force.
+
+        >>> faults.set("slow", count=2, seconds=0.5, path="/v1/keys")
+        """
         with self._changed:
             self._faults.append(Fault(kind, count, seconds, path, details))
 
     def take(self, kind: str, path: str) -> Fault | None:
-        """Return the fault of this kind that applies to a request, counting it."""
+        """Return the fault of this kind that applies to a request, or None.
+
+        A call uses up one of the fault's remaining requests.
+        """
         with self._changed:
             for index, fault in enumerate(self._faults):
                 if fault.kind != kind or not path.startswith(fault.path):
@@ -59,7 +70,7 @@
         return None
 
     def hold(self, kind: str) -> None:
-        """Block until the kind is released or cleared."""
+        """Block until the kind is cleared, at most `HOLD_LIMIT_SECONDS`."""
         with self._changed:
             releases = self._releases_by_kind[kind]
             self._held_by_kind[kind] += 1
@@ -72,19 +83,22 @@
             self._changed.notify_all()
 
     def wait_held(self, kind: str, count: int = 1, timeout: float = 30.0) -> bool:
-        """Wait until ``count`` requests are held; say whether they are."""
+        """Wait until ``count`` requests are held; return whether they are.
+
+        ``timeout`` is in seconds.
+        """
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._held_by_kind[kind] >= count, timeout
             )
 
     def pause(self, seconds: float) -> None:
-        """Wait, but no longer than the stand-in lives."""
+        """Sleep, but end early when the stand-in stops."""
         with self._changed:
             self._changed.wait_for(lambda: self._closed, seconds)
 
     def clear(self, kind: str | None = None) -> None:
-        """Remove the faults of a kind, or all, and release what they hold."""
+        """Remove the faults of a kind, or all, and release the requests they hold."""
         with self._changed:
             kept = [f for f in self._faults if kind is not None and f.kind != kind]
             self._faults = kept
@@ -94,7 +108,7 @@
             self._changed.notify_all()
 
     def close(self) -> None:
-        """Release everything for good; the stand-in is stopping."""
+        """Remove all faults and release all held requests; the stand-in is stopping."""
         with self._changed:
             self._closed = True
             self._faults = []
