--- a/cranberrywick/standin/kv.py
+++ b/cranberrywick/standin/kv.py
@@ -1,12 +1,13 @@
 """A stand-in for the platform's key-value service.
 
-It keeps keys in memory, with compare-and-swap, leases and watches, over the HTTP
-interface of the real service. Beside the faults of every stand-in it knows:
+It keeps keys in memory, with compare-and-swap, leases and watches, and has the HTTP
+interface of the real service. In addition to the faults of every stand-in (see
+`cranberrywick.standin.server`) it has these kinds:
 
 =========== ==================================================================
-stale_reads reads and watches answer from the state as it was when this was set
-watch_gap   a watch answers nothing, though it reports the newest revision
-rate_limit  answer 429 with ``Retry-After: seconds``, nothing done
+stale_reads reads and watches answer from the state of the first such read
+watch_gap   a watch answers without events, but with the newest revision
+rate_limit  answer 429 with ``Retry-After: seconds``; do nothing
 =========== ==================================================================
 """
 
@@ -36,11 +37,13 @@
     "start_key_value",
 ]
 
+# Largest value, in bytes; a larger one is answered with 413.
 VALUE_LIMIT_BYTES = 1 << 20
 KEYS_PATH = "/v1/keys"
 LEASES_PATH = "/v1/leases"
-# The longest wait of a watch, whatever the caller asks for.
+# Longest wait of a watch, in seconds, whatever the caller requests.
 WATCH_LIMIT_SECONDS = 60.0
+# Number of latest writes and deletions kept for watches.
 EVENTS_KEPT = 4096
 
 
@@ -62,15 +65,15 @@
 
 
 class KeyValueStandIn(StandIn):
-    """Keys, leases and watches in memory; everything is lost at its end.
+    """Keys, leases and watches in memory; nothing is stored on disk.
 
-    ``clock`` gives seconds and decides when leases lapse; a test passes its own.
+    ``clock`` returns seconds and decides when leases lapse; a test can pass its own.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
         super().__init__()
         self._clock = clock
-        # Guards the state below and wakes watches after each write.
+        # Guards the state below; notified after each write to wake watches.
         self._changed = threading.Condition()
         self._entries_by_key: dict[str, _Entry] = {}
         self._leases_by_id: dict[str, _Lease] = {}
@@ -80,7 +83,7 @@
         self._stopping = False
 
     def kind_of(self, request: Request) -> str:
-        """Name the call: read, list, write, delete, watch or lease."""
+        """Return the kind of call: read, list, write, delete, watch or lease."""
         if request.path == "/v1/watch":
             return "watch"
         if request.path.startswith(LEASES_PATH):
@@ -90,7 +93,7 @@
         return "write" if request.method == "PUT" else "delete"
 
     def stopping(self) -> None:
-        """Let waiting watches go."""
+        """Wake the watches that wait."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
@@ -133,7 +136,11 @@
         return json_answer(200, answer)
 
     def _readable(self, path: str) -> tuple[dict[str, _Entry], int]:
-        """Return what a read sees: the state now, or one that has passed."""
+        """Return the entries and revision that a read sees.
+
+        Under the fault ``stale_reads`` they are those of its first read, or those of
+        the call of `freeze_reads`.
+        """
         stale = self.faults.take("stale_reads", path)
         with self._changed:
             if stale is None:
@@ -144,7 +151,7 @@
             return self._stale
 
     def freeze_reads(self) -> None:
-        """Answer every read from the present state until the fault is cleared."""
+        """Answer every read from the present state until ``stale_reads`` is cleared."""
         with self._changed:
             self._stale = dict(self._entries_by_key), self._revision
         self.faults.set("stale_reads")
@@ -252,9 +259,10 @@
 
 
 class InProcessKeyValueStore(HttpKeyValueStore):
-    """The daemon's client joined to a stand-in without a network.
+    """The daemon's client, calling a stand-in directly instead of over HTTP.
 
-    Model-based tests make thousands of calls; the faults work as over HTTP.
+    Model-based tests make thousands of calls, for which HTTP is too slow. Faults have
+    the same effect as over HTTP.
     """
 
     def __init__(self, standin: KeyValueStandIn):
@@ -280,10 +288,10 @@
 
 
 def start_key_value(listen: str = "127.0.0.1:0") -> RunningStandIn:
-    """Run the stand-in on a thread of this process."""
+    """Run a new stand-in on a thread of this process and return it."""
     return start(KeyValueStandIn(), listen)
 
 
 def main(listen: str) -> None:
-    """Run the stand-in as a process until it is told to stop."""
+    """Run the stand-in as a process until SIGTERM or SIGINT."""
     serve(KeyValueStandIn(), listen)
--- a/cranberrywick/standin/server.py
+++ b/cranberrywick/standin/server.py
@@ -1,29 +1,32 @@
-"""An HTTP server for stand-ins, with faults that a test sets to force an order.
+"""An HTTP server for stand-ins, with faults that tests set.
 
 A stand-in subclasses `StandIn`, keeps its state in memory and answers requests in
-`StandIn.handle`. `start` runs it on a thread inside this process; `serve` runs it
-as a process and prints ``ready HOST:PORT``.
+`StandIn.handle`. `start` runs it on a thread of this process; `serve` runs it as a
+process of its own and prints ``ready HOST:PORT``.
 
 Faults are set through `StandIn.faults` or over HTTP:
 
 - ``POST /faults {"kind", "count"?, "seconds"?, "path"?}`` sets one. It applies to
   the next ``count`` requests (without ``count``: until it is cleared) whose path
   starts with ``path``.
-- ``DELETE /faults`` clears all of them and releases what is held;
+- ``DELETE /faults`` clears all faults and releases the requests they hold;
   ``DELETE /faults?kind=K`` does so for one kind.
-- ``GET /faults`` lists them, with how many requests are held at the moment.
-- ``GET /counts`` gives the requests served, by kind of call.
+- ``GET /faults`` lists the faults and the number of requests held, by kind.
+- ``GET /counts`` returns the number of requests served, by kind of call.
 
-Every stand-in knows these kinds; each may add its own:
+A test holds a request at one point until it has made another event happen, which
+forces an order that would otherwise depend on timing. Every stand-in has these kinds
+of fault; each may add its own:
 
 ================== ==========================================================
-outage             answer 503, nothing done
-slow               wait ``seconds``, then go on as usual
-hang               hold the request until released, then 503, nothing done
-lose_next_request  break the connection, nothing done
-hold_next_answer   do the work, hold the answer until released
-hold_next_write    the same, only for requests other than GET
-drop_next_answer   do the work of a request other than GET, break the connection
+outage             answer 503; do nothing
+slow               wait ``seconds``, then continue as usual
+hang               hold the request until released, then answer 503; do nothing
+lose_next_request  close the connection; do nothing
+hold_next_answer   do the work, then hold the answer until released
+hold_next_write    as hold_next_answer, for requests other than GET
+drop_next_answer   do the work of a request other than GET, then break off the
+                   answer
 nonsense           answer 200 with a body that is not JSON
 ================== ==========================================================
 """
@@ -54,21 +57,25 @@
     "start",
 ]
 
-# Watches and held requests keep a thread each; stand-ins serve small fleets.
+# Server threads. Watches and held requests occupy one each; fleets are small.
 THREADS = 96
 
+# Largest request body that the server accepts, in bytes.
 BODY_LIMIT_BYTES = 64 << 20
 
 
 class BrokenAnswer(ClientDisconnected):
-    """Raised inside a body so that the server closes the connection.
+    """Raised by a body's iterator to make the server close the connection.
 
-    It is of the one kind that waitress takes without logging an error's trace.
+    It derives from the only exception for which waitress logs no traceback.
     """
 
 
 class Request(NamedTuple):
-    """One request; header names are in lower case."""
+    """One request; header names are in lower case.
+
+    ``client_disconnected()`` returns whether the client has closed the connection.
+    """
 
     method: str
     path: str
@@ -78,12 +85,12 @@
     client_disconnected: Callable[[], bool]
 
     def json(self) -> dict:
-        """Return the body as a JSON object, an empty one when there is no body."""
+        """Return the decoded JSON body, or an empty object without a body."""
         return json.loads(self.body) if self.body else {}
 
 
 class Answer(NamedTuple):
-    """What a stand-in answers; an iterable body is sent as it comes."""
+    """An HTTP response; an iterable body is sent part by part as it is produced."""
 
     status: int
     body: bytes | Iterable[bytes] = b""
@@ -97,7 +104,7 @@
 
 
 class StandIn(ABC):
-    """A small replacement of an outside system, for tests and the demo."""
+    """Base of the replacements for external systems, for tests and the demo."""
 
     def __init__(self):
         self.faults = Faults()
@@ -106,10 +113,10 @@
 
     @abstractmethod
     def handle(self, request: Request) -> Answer:
-        """Answer one request; called on many threads at once."""
+        """Answer one request; called from many threads at once."""
 
     def kind_of(self, request: Request) -> str:
-        """Name the kind of call for the counters."""
+        """Return the kind of call under which the request is counted."""
         return f"{request.method} {request.path}"
 
     def stopping(self) -> None:  # noqa: B027
@@ -117,12 +124,12 @@
 
     @property
     def counts_by_kind(self) -> dict[str, int]:
-        """The requests served so far."""
+        """The number of requests served so far, by kind of call."""
         with self._counts_lock:
             return dict(self._counts_by_kind)
 
     def answer(self, request: Request) -> Answer:
-        """Answer one request as the faults in force say."""
+        """Answer one request, applying the faults in force."""
         if request.path == "/faults":
             return self._answer_faults(request)
         if request.path == "/counts":
@@ -166,7 +173,7 @@
 
 
 def broken_answer() -> Answer:
-    """Return an answer that breaks off before its stated length."""
+    """Return an answer that ends before its stated length."""
 
     def body() -> Iterator[bytes]:
         yield b"{"
@@ -198,16 +205,16 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as ``host:port``."""
+        """The address it listens on, as ``host:port``."""
         return f"{self._server.effective_host}:{self._server.effective_port}"
 
     @property
     def url(self) -> str:
-        """Where it listens, as a URL without a path."""
+        """The address it listens on, as a URL without a path."""
         return f"http://{self.address}"
 
     def drop_connections(self) -> None:
-        """Close every connection, as one that has been idle is closed."""
+        """Close every connection, as a server does with idle ones."""
         closed = threading.Event()
 
         def close() -> None:
@@ -215,26 +222,27 @@
                 channel.handle_close()
             closed.set()
 
-        # Connections belong to the loop's thread.
+        # Connections may be closed only on the server's loop thread.
         self._server.trigger.pull_trigger(close)
         closed.wait(10.0)
 
     def stop(self) -> None:
-        """Close the listener and every connection; a second call does nothing.
+        """Release held requests, then close the listener and every connection.
 
-        Held requests are let go.
+        A second call does nothing.
         """
         if self._stop_asked:
             return
         self._stop_asked = True
         self.standin.faults.close()
         self.standin.stopping()
-        # Set on the loop's thread: a loop that wakes by itself and finds it set closes
-        # the trigger, which is then pulled in vain.
-        self._server.trigger.pull_trigger(self._note_stopping)
+        # The flag is set on the loop's thread. Set here, it could be seen by the loop
+        # when its 1-second poll ends, and the loop would close the trigger before it
+        # is pulled, which fails.
+        self._server.trigger.pull_trigger(self._set_stopping)
         self._thread.join(10.0)
 
-    def _note_stopping(self) -> None:
+    def _set_stopping(self) -> None:
         self._stopping = True
 
     def _run(self) -> None:
@@ -273,7 +281,7 @@
 def start(
     standin: StandIn, listen: str = "127.0.0.1:0", threads: int = THREADS
 ) -> RunningStandIn:
-    """Serve a stand-in on a thread of this process.
+    """Serve a stand-in on a thread of this process and return the running server.
 
     >>> running = start(KeyValueStandIn())
     >>> running.address
@@ -284,7 +292,7 @@
 
 
 def serve(standin: StandIn, listen: str) -> None:
-    """Serve a stand-in until SIGTERM or SIGINT, for use as a process."""
+    """Serve a stand-in until SIGTERM or SIGINT, as the main function of a process."""
     finished = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: finished.set())
--- a/cranberrywick/standin/service.py
+++ b/cranberrywick/standin/service.py
@@ -1,12 +1,13 @@
-"""A plain service that books slots and never recognises a repeated call.
+"""A stand-in for a plain service, which books slots and ignores idempotency keys.
 
-``GET /bookings`` tells how often each ``Idempotency-Key`` ran, so that a test sees
-a call that ran twice. Beside the faults of every stand-in it knows:
+It runs a repeated call again. ``GET /bookings`` returns how often each
+``Idempotency-Key`` ran, so that a test detects a call that ran twice. In addition to
+the faults of every stand-in (see `cranberrywick.standin.server`) it has these kinds:
 
 ========== ============================================================
-cross      answer with the ids ``request_id`` and ``attempt`` of another
-refuse     answer 503 with the ``reason`` cold, leaving or full, not run
-cut        run, then break the connection in the middle of the answer
+cross      answer with another request's ``request_id`` and ``attempt``
+refuse     answer 503 with ``reason`` cold, leaving or full; do not run
+cut        run, then close the connection in the middle of the answer
 die        end the process at once
 ========== ============================================================
 """
@@ -35,11 +36,11 @@
 
 
 class ServiceStandIn(StandIn):
-    """Counts what ran, by key and by call."""
+    """A service that counts the calls it ran, by key and by method and path."""
 
     def __init__(self):
         super().__init__()
-        self._lock = threading.Lock()  # guards what ran
+        self._lock = threading.Lock()  # guards the counters
         self._runs_by_key: Counter[str] = Counter()
         self._runs_by_call: Counter[str] = Counter()
         self._number = 0
@@ -58,7 +59,7 @@
             return dict(self._runs_by_call)
 
     def handle(self, request: Request) -> Answer:
-        """Run a call, or tell the load or what ran."""
+        """Run a call, or answer with the load or the counters."""
         if request.path == "/v1/load":
             return json_answer(200, self._load())
         if request.path == "/bookings":
@@ -107,7 +108,7 @@
 
 
 def received(body: bytes) -> object:
-    """Return the body as JSON, or its length when it is not JSON."""
+    """Return the decoded JSON body, or its length when it is not JSON."""
     try:
         return json.loads(body)
     except ValueError:
@@ -115,7 +116,7 @@
 
 
 def echo_headers(request: Request) -> tuple[tuple[str, str], ...]:
-    """Return the request's own id and attempt as answer headers."""
+    """Return answer headers with the request's own id and attempt."""
     return (
         ("X-Request-Id", request.headers.get("x-request-id", "")),
         ("X-Attempt", request.headers.get("x-attempt", "")),
@@ -123,7 +124,10 @@
 
 
 def other_headers(details: dict) -> tuple[tuple[str, str], ...]:
-    """Return the ids of another request, for an answer that crosses."""
+    """Return answer headers with another request's id and attempt.
+
+    They are those in ``details`` of the fault ``cross``, or defaults.
+    """
     return (
         ("X-Request-Id", str(details.get("request_id", "another"))),
         ("X-Attempt", str(details.get("attempt", 1))),
@@ -131,7 +135,10 @@
 
 
 def refusal(request: Request, reason: str, retry_after: int = 1) -> Answer:
-    """Return the answer that says that the request was not run."""
+    """Return the 503 answer to a request that was not run.
+
+    ``retry_after`` is in seconds.
+    """
     return json_answer(
         503,
         {"error": {"type": reason}},
@@ -141,7 +148,7 @@
 
 
 def start(listen: str = "127.0.0.1:0") -> RunningStandIn:
-    """Serve a new service on a thread of this process."""
+    """Serve a new service on a thread of this process and return it."""
     return start_standin(ServiceStandIn(), listen)
 
 
--- a/cranberrywick/standin/vms.py
+++ b/cranberrywick/standin/vms.py
@@ -1,8 +1,9 @@
 """A stand-in for the platform's list of VMs.
 
-``PUT /v1/vms/ID`` adds or changes a VM, ``DELETE /v1/vms/ID`` removes it; tests
-and the demo use them, the daemon only reads. The list lags on purpose: with the
-fault ``lag`` it answers as it was when the fault was set, until it is cleared.
+``GET /v1/vms`` returns the list, which is all that a daemon calls. Tests and the demo
+add or change a VM with ``PUT /v1/vms/ID`` and remove one with ``DELETE /v1/vms/ID``.
+Until the fault ``lag`` is cleared, the list stays as it was at the first reading after
+the fault was set.
 """
 
 import threading
@@ -23,18 +24,18 @@
 
 
 class VmListStandIn(StandIn):
-    """The VMs in memory, by id."""
+    """A list of VMs in memory."""
 
     def __init__(self, vms: list[dict] | None = None):
         super().__init__()
-        # Guards the list, its revision and the copy that a lagging list answers.
+        # Guards the VMs, the revision and the copy answered under the fault ``lag``.
         self._lock = threading.Lock()
         self._vms_by_id = {vm["id"]: vm for vm in vms or []}
         self._revision = 1
         self._lagging: dict | None = None
 
     def handle(self, request: Request) -> Answer:
-        """Answer the list, or change one VM."""
+        """Answer with the list, or change one VM."""
         if request.path == VMS_PATH:
             return json_answer(200, self._answer_list())
         vm_id = request.path.removeprefix(VMS_PATH + "/")
@@ -45,20 +46,20 @@
         return json_answer(200, {})
 
     def put(self, vm_id: str, fields: dict) -> None:
-        """Add a VM, or change the given fields of one."""
+        """Add a VM with these fields, or change them in an existing one."""
         with self._lock:
             known = self._vms_by_id.get(vm_id, {"state": "live"})
             self._vms_by_id[vm_id] = {**known, **fields, "id": vm_id}
             self._revision += 1
 
     def remove(self, vm_id: str) -> None:
-        """Forget a VM."""
+        """Remove a VM."""
         with self._lock:
             self._vms_by_id.pop(vm_id, None)
             self._revision += 1
 
     def freeze(self) -> None:
-        """Answer the present list until the fault ``lag`` is cleared."""
+        """Answer with the present list until the fault ``lag`` is cleared."""
         with self._lock:
             self._lagging = self._listed()
         self.faults.set("lag")
@@ -81,10 +82,10 @@
 def start_vm_list(
     vms: list[dict] | None = None, listen: str = "127.0.0.1:0"
 ) -> RunningStandIn:
-    """Run the stand-in on a thread of this process."""
+    """Run a new stand-in on a thread of this process and return it."""
     return start(VmListStandIn(vms), listen)
 
 
 def main(listen: str) -> None:
-    """Run the stand-in as a process until it is told to stop."""
+    """Run the stand-in as a process until SIGTERM or SIGINT."""
     serve(VmListStandIn(), listen)
--- a/cranberrywick/standin/weights.py
+++ b/cranberrywick/standin/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's weight store, which limits how fast it is read."""
+"""A stand-in for the platform's weight store, which limits the rate of reads."""
 
 import math
 import threading
@@ -18,14 +18,19 @@
 __all__ = ["WeightStoreStandIn", "main", "start_weight_store"]
 
 MODELS_PATH = "/v1/models/"
-# Enough for the demo; a test that is about the limit passes its own.
+# Rate and burst of the token bucket. They suffice for the demo; a test of the limit
+# passes its own.
 READS_PER_SECOND = 2.0
 BURST_READS = 4.0
+# Size answered for every model, in bytes.
 MODEL_BYTES = 16 << 30
 
 
 class WeightStoreStandIn(StandIn):
-    """Answers the size of any model's version within a rate limit."""
+    """Answers with the size of any version of any model, within a rate limit.
+
+    ``clock`` returns seconds and refills the token bucket; a test can pass its own.
+    """
 
     def __init__(
         self,
@@ -43,17 +48,20 @@
         self._filled_at = clock()
 
     def handle(self, request: Request) -> Answer:
-        """Answer ``GET /v1/models/NAME/VERSION``."""
+        """Answer ``GET /v1/models/NAME/VERSION``, with 429 above the rate limit."""
         if not request.path.startswith(MODELS_PATH):
             return json_answer(404, {"error": "no such call"})
-        wait = self._take()
+        wait = self._consume_token()
         if wait > 0:
             retry_after = ("Retry-After", str(math.ceil(wait)))
             return json_answer(429, {"error": "rate"}, retry_after)
         return json_answer(200, {"bytes": MODEL_BYTES})
 
-    def _take(self) -> float:
-        """Take a token; return the seconds to wait when there is none."""
+    def _consume_token(self) -> float:
+        """Remove a token from the bucket and return 0.
+
+        When there is none, return the seconds until there is one.
+        """
         with self._lock:
             now = self._clock()
             filled = (now - self._filled_at) * self._reads_per_second
@@ -66,10 +74,10 @@
 
 
 def start_weight_store(listen: str = "127.0.0.1:0") -> RunningStandIn:
-    """Run the stand-in on a thread of this process."""
+    """Run a new stand-in on a thread of this process and return it."""
     return start(WeightStoreStandIn(), listen)
 
 
 def main(listen: str) -> None:
-    """Run the stand-in as a process until it is told to stop."""
+    """Run the stand-in as a process until SIGTERM or SIGINT."""
     serve(WeightStoreStandIn(), listen)
