--- a/cranberrywick/standin/platform/__init__.py
+++ b/cranberrywick/standin/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that speak the users' platform: its store and its endpoints."""
+"""Stand-ins with the interfaces of the platform's store and endpoints."""
--- a/cranberrywick/standin/platform/demo.py
+++ b/cranberrywick/standin/platform/demo.py
@@ -1,4 +1,4 @@
-"""``cranberrywick gateway-demo``: two gateways before stand-ins, in one process."""
+"""``cranberrywick gateway-demo``: two gateways and stand-ins in one process."""
 
 import asyncio
 import json
@@ -17,6 +17,7 @@
 
 HOST = "shop.example"
 KEY = "a-key"
+# Longest wait for a connection to a gateway, in seconds.
 START_SECONDS = 2.0
 ENGINE = {
     "slots": 8,
@@ -78,9 +79,11 @@
         await asyncio.sleep(0.01)
     click.echo("stand-ins: store, 2 plain services, 2 engines; 2 gateways are ready")
     entry = f"127.0.0.2:{ports[0]}"
-    await _show(entry, "booking", "/slots/1", None)
-    await _show(entry, "short prompt", "/prompts/1", "4000,400")
-    await _show(entry, "prompt above one engine's memory", "/prompts/2", "400000,400")
+    await _send_and_print(entry, "booking", "/slots/1", None)
+    await _send_and_print(entry, "short prompt", "/prompts/1", "4000,400")
+    await _send_and_print(
+        entry, "prompt above one engine's memory", "/prompts/2", "400000,400"
+    )
 
 
 async def _register(store: StoreStandIn, endpoint_id: str) -> None:
@@ -118,7 +121,9 @@
     return gateway
 
 
-async def _show(entry: str, what: str, target: str, tokens: str | None) -> None:
+async def _send_and_print(
+    entry: str, what: str, target: str, tokens: str | None
+) -> None:
     headers = [
         (b"Host", HOST.encode()),
         (b"Authorization", f"Token {KEY}".encode()),
--- a/cranberrywick/standin/platform/endpoint.py
+++ b/cranberrywick/standin/platform/endpoint.py
@@ -1,21 +1,22 @@
 """A stand-in for the platform's endpoints: plain services and model engines.
 
-It counts what it ran by request id, which is what tests of "at most once" ask for.
-Its behaviour is one of:
+It counts runs by request id, which tests of at-most-once execution check. Its
+behaviour is one of:
 
 ============ ===========================================================
-well         answers as it should
+well         answers correctly
 failing      runs the request and answers 500
-full         503 and says that it did not run, also where it is to help another
+full         answers 503 and that it did not run the request; an engine that would
+             have it as a helper does so too
 reset        runs the request and resets the connection
-hang         runs the request and never answers
-twice        sends a second whole answer after the first
+hang         runs the request and does not answer
+twice        sends the whole answer twice
 other        answers with another request's id
-unframed     sends a body without a length that ends with the connection
+unframed     sends a body without a length, which ends with the connection
 short        announces more bytes than it sends
-noise        sends bytes that are no answer
-cut          stops a stream in the middle of an event and closes
-silent       stops a stream after some events and stays silent
+noise        sends bytes that are not an HTTP response
+cut          ends a stream in the middle of an event and closes the connection
+silent       stops in the middle of an event and keeps the connection open
 ============ ===========================================================
 """
 
@@ -32,24 +33,27 @@
     *("well", "failing", "full", "reset", "hang", "twice", "other", "unframed"),
     *("short", "noise", "cut", "silent"),
 )
-# After so many events a stream is cut or falls silent.
+# Number of whole events before a stream is cut or falls silent.
 EVENTS_BEFORE_CUT = 3
 READ_BYTES = 65536
 
 
-class _Ticket(NamedTuple):
+class _Reservation(NamedTuple):
     tokens: int
     expires_at: float
 
 
 class EndpointStandIn:
-    """One endpoint; made and used on one event loop.
+    """One endpoint; created and used on one event loop.
 
-    ``work_seconds`` is how long a call, or the reading of a prompt, takes;
+    ``work_seconds`` is how long a call or the prefill of a prompt takes, and
     ``event_seconds`` the pause between a stream's events. While ``rate_limit`` is set,
-    each answer names it, in requests a second, first at ``limit_named_at``;
-    ``arrived_at`` has the moment of each request. A registry of addresses lets an
-    engine find its helpers' tickets.
+    each answer states it, in requests a second; ``limit_named_at`` is the time of the
+    first such answer and ``arrived_at`` has the time of each request, both on the
+    loop's clock. ``runs`` counts runs by request id, ``heads`` has the method, target,
+    headers and body of each run, ``at_work`` the request ids in progress and
+    ``tickets`` the reservations of memory by id. ``by_address`` has all endpoints of
+    the process, so that an engine can check its helpers' tickets.
     """
 
     by_address: dict[str, "EndpointStandIn"] = {}
@@ -74,12 +78,12 @@
         self.runs: Counter[str] = Counter()
         self.heads: list[tuple[bytes, bytes, dict[str, str], bytes]] = []
         self.at_work: set[str] = set()
-        self.tickets: dict[str, _Ticket] = {}
+        self.tickets: dict[str, _Reservation] = {}
         self.address = ""
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> str:
-        """Listen and return the address."""
+        """Listen and return the address, as ``host:port``."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -87,12 +91,12 @@
         return self.address
 
     def stop(self) -> None:
-        """Stop to listen, as after a crash."""
+        """Stop listening, as after a crash."""
         self._server.close()
 
     @property
     def reserved(self) -> int:
-        """Tokens of memory that are reserved now."""
+        """Tokens of memory that are reserved; removes expired reservations."""
         now = asyncio.get_running_loop().time()
         for name, ticket in list(self.tickets.items()):
             if ticket.expires_at < now:
@@ -109,33 +113,33 @@
                 await self._answer(head, body, http, reader, writer)
                 await writer.drain()
         except (ConnectionError, h11.RemoteProtocolError):
-            pass  # The gateway has closed: what was at work is dropped below.
+            pass  # The gateway has closed the connection; it is closed here, too.
         finally:
             writer.close()
 
     async def _answer(self, head, body, http, reader, writer) -> None:
         headers = {bytes(n).decode(): bytes(v).decode() for n, v in head.headers}
         if head.target == b"/order":
-            writer.write(_whole(http, *self._order(json.loads(body))))
+            writer.write(_encode_response(http, *self._order(json.loads(body))))
             return
         expected = headers.get("cranberrywick-expect-instance")
         if expected not in (None, self.endpoint_id):
             own = [("Cranberrywick-Instance-Id", self.endpoint_id)]
-            writer.write(_whole(http, 421, own, b""))
+            writer.write(_encode_response(http, 421, own, b""))
             return
         self.arrived_at.append(asyncio.get_running_loop().time())
-        at_fault = self._at_fault(headers)
+        at_fault = self._refusing_address(headers)
         if at_fault is not None:
             own = [("Cranberrywick-Not-Executed", "1"), ("At-Server", at_fault)]
             own += self._limit_headers()
-            writer.write(_whole(http, 503, own, b""))
+            writer.write(_encode_response(http, 503, own, b""))
             return
         request_id = headers.get("cranberrywick-request-id", "")
         self.heads.append((bytes(head.method), bytes(head.target), headers, body))
         self.runs[request_id] += 1
         self.at_work.add(request_id)
         try:
-            await _unless_closed(reader, self._run(http, headers, writer))
+            await _run_unless_closed(reader, self._run(http, headers, writer))
         finally:
             self.at_work.discard(request_id)
 
@@ -149,7 +153,7 @@
         if known is None and held + order["tokens"] > self.memory_tokens:
             return 409, [], b"{}"
         expires_at = now + order["holdMs"] / 1000
-        self.tickets[order["id"]] = _Ticket(order["tokens"], expires_at)
+        self.tickets[order["id"]] = _Reservation(order["tokens"], expires_at)
         return 200, [], b'{"free": 0}'
 
     def _limit_headers(self) -> list[tuple[str, str]]:
@@ -159,14 +163,19 @@
             self.limit_named_at = asyncio.get_running_loop().time()
         return [("Server-Limit", f"{self.rate_limit:g}")]
 
-    def _at_fault(self, headers: dict[str, str]) -> str | None:
-        """Return the address of the endpoint for which this one refuses, if any."""
+    def _refusing_address(self, headers: dict[str, str]) -> str | None:
+        """Return the address of the endpoint that makes this one refuse, if any.
+
+        That is this one when it is full, or a helper that is full or does not have the
+        ticket of the request.
+        """
         if self.behaviour == "full":
             return self.address
         for entry in filter(None, headers.get("cranberrywick-helpers", "").split(",")):
             address, _, ticket = entry.partition("/")
             helper = self.by_address.get(address)
-            # A helper behind a proxy is not known by its address, and taken for well.
+            # A helper behind a proxy has another address here; it is assumed to be
+            # well.
             if helper is None:
                 continue
             if helper.behaviour == "full" or (ticket and ticket not in helper.tickets):
@@ -207,7 +216,7 @@
             writer.write(f"HTTP/1.1 200 OK\r\n{lines}\r\n".encode() + body)
         else:
             status = 500 if self.behaviour == "failing" else 200
-            answer = _whole(http, status, own, body)
+            answer = _encode_response(http, status, own, body)
             writer.write(answer)
             if self.behaviour == "twice":
                 writer.write(answer)
@@ -247,8 +256,8 @@
             return None, b""
 
 
-async def _unless_closed(reader: asyncio.StreamReader, work) -> None:
-    """Do the work unless the other side closes the connection before its end."""
+async def _run_unless_closed(reader: asyncio.StreamReader, work) -> None:
+    """Await ``work``, but cancel it when the peer closes the connection first."""
     task = asyncio.ensure_future(work)
     closed = asyncio.ensure_future(reader.read(1))
     try:
@@ -260,7 +269,7 @@
         await asyncio.gather(task, closed, return_exceptions=True)
 
 
-def _whole(
+def _encode_response(
     http: h11.Connection, status: int, headers: list[tuple[str, str]], body: bytes
 ) -> bytes:
     fields = [*headers, ("Content-Length", str(len(body)))]
