--- a/cranberrywick/standin/platform/demo.py
+++ b/cranberrywick/standin/platform/demo.py
@@ -113,7 +113,7 @@
                 "directory": f"{ip}:{directory}",
             },
             "internalPorts": [low, high],
-            "platform": {"address": await store.add_door(name)},
+            "platform": {"address": await store.add_listener(name)},
         }
     )
     gateway = Gateway(settings, EventLog(daemon=name))
--- a/cranberrywick/standin/platform/store.py
+++ b/cranberrywick/standin/platform/store.py
@@ -1,6 +1,6 @@
 """A stand-in for the platform's metadata store.
 
-Each daemon can be given an address of its own (`StoreStandIn.add_door`), so that a
+Each daemon can be given an address of its own (`StoreStandIn.add_listener`), so that a
 test turns one daemon away while the others are served. A door's mode is one of:
 
 ======== =======================================================
@@ -23,9 +23,9 @@
 
 from cranberrywick.gateway.ingress import CallerConnection, HttpRequest, Ingress
 
-__all__ = ["DOOR_MODES", "StoreStandIn"]
+__all__ = ["LISTENER_MODES", "StoreStandIn"]
 
-DOOR_MODES = ("open", "slow", "busy", "many", "silent", "reset", "lost")
+LISTENER_MODES = ("open", "slow", "busy", "many", "silent", "reset", "lost")
 # A configuration of a megabyte takes so long on a narrow link.
 SLOW_SECONDS = 0.4
 # How often leases are looked at, in seconds.
@@ -55,18 +55,18 @@
         self._revision = 1
         self._next_lease = 100
         self._ingresses: list[Ingress] = []
-        self.modes_by_door: dict[str, str] = {}
-        self.calls_by_door: dict[str, int] = {}
+        self.modes_by_listener: dict[str, str] = {}
+        self.calls_by_listener: dict[str, int] = {}
         self._expiry: asyncio.Task | None = None
 
     async def start(self) -> None:
         """Begin to end leases that have run out."""
         self._expiry = asyncio.get_running_loop().create_task(self._expire())
 
-    async def add_door(self, name: str) -> str:
+    async def add_listener(self, name: str) -> str:
         """Listen on one more address and return it."""
-        self.modes_by_door[name] = "open"
-        self.calls_by_door[name] = 0
+        self.modes_by_listener[name] = "open"
+        self.calls_by_listener[name] = 0
 
         async def handle(request: HttpRequest, caller: CallerConnection) -> None:
             await self._handle(name, request, caller)
@@ -100,8 +100,8 @@
     async def _handle(
         self, door: str, request: HttpRequest, caller: CallerConnection
     ) -> None:
-        self.calls_by_door[door] += 1
-        mode = self.modes_by_door[door]
+        self.calls_by_listener[door] += 1
+        mode = self.modes_by_listener[door]
         if mode == "slow":
             await asyncio.sleep(SLOW_SECONDS)
         if mode == "busy":
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -176,8 +176,8 @@
         self, name: str, wait: bool = True, store_mode: str = "open"
     ) -> Gateway:
         """Start a gateway process with a store address of its own."""
-        door = self.await_on_loop(self.store.add_door(name))
-        self.store.modes_by_door[name] = store_mode
+        door = self.await_on_loop(self.store.add_listener(name))
+        self.store.modes_by_listener[name] = store_mode
         settings = gateway_settings(name, self._ip(name), door)
         settings["seeds"] = [g.settings["listen"]["control"] for g in self.gateways]
         path = self.path / f"{name}.json"
--- a/tests/gateway_soak.py
+++ b/tests/gateway_soak.py
@@ -314,7 +314,7 @@
         self._later(lambda: self.fleet.on_loop(proxy.set_mode, "open"))
 
     def _harm_store(self) -> None:
-        doors = self.fleet.store.modes_by_door
+        doors = self.fleet.store.modes_by_listener
         name = self.rng.choice(list(doors))
         doors[name] = self.rng.choice(("busy", "many", "silent", "reset", "lost"))
         self._later(lambda: doors.update({name: "open"}))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -448,7 +448,7 @@
         """
         version = {"busy": 20, "silent": 40, "reset": 60}[mode]
         turned_away = fleet.gateways[0]
-        fleet.store.modes_by_door[turned_away.name] = mode
+        fleet.store.modes_by_listener[turned_away.name] = mode
         try:
             key = f"key-{version}"
             fleet.configure(
@@ -467,7 +467,7 @@
             assert call({}).status == 401
             assert time.monotonic() - written < 2.0
         finally:
-            fleet.store.modes_by_door[turned_away.name] = "open"
+            fleet.store.modes_by_listener[turned_away.name] = "open"
             fleet.configure(configuration(version=version + 10))
             wait_for(
                 lambda: all(
@@ -601,7 +601,7 @@
         tells it the configuration and the endpoints.
         """
         with running_gateways(tmp_path, gateways=1) as fleet:
-            fleet.store.modes_by_door[fleet.gateways[0].name] = "busy"
+            fleet.store.modes_by_listener[fleet.gateways[0].name] = "busy"
             late = fleet.start_gateway("late", store_mode="busy")
             assert fleet.call(late, "GET", "/reads/1").status == 200
 
@@ -616,7 +616,7 @@
             both = sorted([other.front, restarted.front])
             wait_for(lambda: fleet.addresses(other) == both, "both to be known")
             for gateway in fleet.gateways:
-                fleet.store.modes_by_door[gateway.name] = "busy"
+                fleet.store.modes_by_listener[gateway.name] = "busy"
             restarted.process.kill()
             restarted.process.wait()
             restarted = fleet.gateways[1] = fleet.restart(restarted)
