--- a/cranberrywick/standin/platform/store.py
+++ b/cranberrywick/standin/platform/store.py
@@ -1,16 +1,17 @@
 """A stand-in for the platform's metadata store.
 
-Each daemon can be given an address of its own (`StoreStandIn.add_listener`), so that a
-test turns one daemon away while the others are served. A door's mode is one of:
+Each daemon can be given an address of its own (`StoreStandIn.add_listener`), so that
+a test can fail the calls of one daemon while the others are served. A listener's mode
+is one of:
 
 ======== =======================================================
 open     calls are served
 slow     calls are served after `SLOW_SECONDS`
-busy     503, nothing done
-many     429, nothing done
-silent   the call is read and never answered
-reset    the connection is closed without an answer
-lost     the call is done, the connection closed without an answer
+busy     calls are not executed and answered with 503
+many     calls are not executed and answered with 429
+silent   calls are neither executed nor answered
+reset    the connection is closed; the call is not executed
+lost     the call is executed, the connection closed without an answer
 ======== =======================================================
 """
 
@@ -26,11 +27,13 @@
 __all__ = ["LISTENER_MODES", "StoreStandIn"]
 
 LISTENER_MODES = ("open", "slow", "busy", "many", "silent", "reset", "lost")
-# A configuration of a megabyte takes so long on a narrow link.
+# Delay of a call in the mode ``slow``, in seconds: what a configuration of a megabyte
+# takes on a link of low bandwidth.
 SLOW_SECONDS = 0.4
-# How often leases are looked at, in seconds.
-LEASE_LOOK_SECONDS = 0.05
-# Keys that only operators and endpoints may write.
+# Interval between checks for expired leases, in seconds.
+LEASE_CHECK_SECONDS = 0.05
+# Prefixes of the keys that only operators and endpoints may write; a daemon's write
+# to them is answered with 403.
 RESERVED_PREFIXES = ("op/", "servers/")
 
 
@@ -47,7 +50,11 @@
 
 
 class StoreStandIn:
-    """Keys and leases in memory; made and used on one event loop."""
+    """Keys and leases in memory; created and used on one event loop.
+
+    ``modes_by_listener`` can be changed at any time and holds for the calls after it;
+    ``calls_by_listener`` counts the calls received.
+    """
 
     def __init__(self) -> None:
         self._items: dict[str, _Item] = {}
@@ -60,11 +67,14 @@
         self._expiry: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Begin to end leases that have run out."""
+        """Start to expire leases."""
         self._expiry = asyncio.get_running_loop().create_task(self._expire())
 
     async def add_listener(self, name: str) -> str:
-        """Listen on one more address and return it."""
+        """Listen on another address and return it.
+
+        Calls to it are served as the mode in ``modes_by_listener[name]`` says.
+        """
         self.modes_by_listener[name] = "open"
         self.calls_by_listener[name] = 0
 
@@ -77,7 +87,10 @@
         return ingress.address
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a key, as operators and endpoints do; return the revision."""
+        """Write a key and return the revision.
+
+        Any key may be written, as by an operator or an endpoint.
+        """
         self._revision += 1
         old = self._items.get(key)
         created = old.created if old else self._revision
@@ -85,7 +98,7 @@
         return self._revision
 
     def put_json(self, key: str, fields: Mapping[str, Any]) -> int:
-        """Write a key with a JSON object."""
+        """Write a JSON object to a key and return the revision."""
         return self.put(key, json.dumps(fields).encode())
 
     def remove(self, key: str) -> None:
@@ -94,14 +107,14 @@
             self._revision += 1
 
     def keys(self, prefix: str) -> list[str]:
-        """Return the keys under a prefix."""
+        """Return the sorted keys that start with a prefix."""
         return sorted(key for key in self._items if key.startswith(prefix))
 
     async def _handle(
-        self, door: str, request: HttpRequest, caller: CallerConnection
+        self, listener: str, request: HttpRequest, caller: CallerConnection
     ) -> None:
-        self.calls_by_listener[door] += 1
-        mode = self.modes_by_listener[door]
+        self.calls_by_listener[listener] += 1
+        mode = self.modes_by_listener[listener]
         if mode == "slow":
             await asyncio.sleep(SLOW_SECONDS)
         if mode == "busy":
@@ -126,25 +139,25 @@
         if path == "/kv-txn":
             return self._transact(body)
         if path == "/kv-lease":
-            return self._grant(body)
+            return self._grant_lease(body)
         kind, _, lease = path.rpartition("/")
         if kind == "/kv-keep":
-            return self._keep(int(lease))
+            return self._renew_lease(int(lease))
         if kind == "/kv-lease-end":
-            return self._end(int(lease))
+            return self._end_lease(int(lease))
         return 404, {}
 
     def _range(self, arguments: Mapping[str, str]) -> tuple[int, dict[str, Any]]:
         after = arguments.get("after", "")
         keys = [key for key in self.keys(arguments.get("prefix", "")) if key > after]
-        items = [_shown(key, self._items[key]) for key in keys]
+        items = [_item_json(key, self._items[key]) for key in keys]
         return 200, {"items": items, "truncated": False, "asOf": self._revision}
 
     def _key(self, key: str) -> tuple[int, dict[str, Any]]:
         item = self._items.get(key)
         if item is None:
             return 404, {"asOf": self._revision}
-        return 200, {**_shown(key, item), "asOf": self._revision}
+        return 200, {**_item_json(key, item), "asOf": self._revision}
 
     def _transact(self, body: Mapping[str, Any]) -> tuple[int, dict[str, Any]]:
         writes = body.get("writes", [])
@@ -164,13 +177,13 @@
             self.remove(key)
         return 200, {"revision": self._revision}
 
-    def _grant(self, body: Mapping[str, Any]) -> tuple[int, dict[str, Any]]:
+    def _grant_lease(self, body: Mapping[str, Any]) -> tuple[int, dict[str, Any]]:
         self._next_lease += 1
         ttl = body["ttlMs"] / 1000
         self._leases[self._next_lease] = _Lease(ttl, _now() + ttl)
         return 200, {"lease": self._next_lease, "ttlMs": body["ttlMs"]}
 
-    def _keep(self, lease: int) -> tuple[int, dict[str, Any]]:
+    def _renew_lease(self, lease: int) -> tuple[int, dict[str, Any]]:
         known = self._leases.get(lease)
         if known is None:
             return 404, {}
@@ -178,7 +191,7 @@
         self._leases[lease] = renewed
         return 200, {"ttlMs": int(known.ttl_seconds * 1000)}
 
-    def _end(self, lease: int) -> tuple[int, dict[str, Any]]:
+    def _end_lease(self, lease: int) -> tuple[int, dict[str, Any]]:
         if self._leases.pop(lease, None) is None:
             return 404, {}
         for key in [k for k, item in self._items.items() if item.lease == lease]:
@@ -187,13 +200,13 @@
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_LOOK_SECONDS)
+            await asyncio.sleep(LEASE_CHECK_SECONDS)
             for lease, known in list(self._leases.items()):
                 if known.expires_at < _now():
-                    self._end(lease)
+                    self._end_lease(lease)
 
 
-def _shown(key: str, item: _Item) -> dict[str, Any]:
+def _item_json(key: str, item: _Item) -> dict[str, Any]:
     return {
         "key": key,
         "value": base64.b64encode(item.value).decode(),
