--- a/cranberrywick/standin/platform/endpoint.py
+++ b/cranberrywick/standin/platform/endpoint.py
@@ -38,7 +38,7 @@
 READ_BYTES = 65536
 
 
-class _Reservation(NamedTuple):
+class _Ticket(NamedTuple):
     tokens: int
     expires_at: float
 
@@ -78,7 +78,7 @@
         self.runs: Counter[str] = Counter()
         self.heads: list[tuple[bytes, bytes, dict[str, str], bytes]] = []
         self.at_work: set[str] = set()
-        self.tickets: dict[str, _Reservation] = {}
+        self.tickets: dict[str, _Ticket] = {}
         self.address = ""
         self._server: asyncio.Server | None = None
 
@@ -153,7 +153,7 @@
         if known is None and held + order["tokens"] > self.memory_tokens:
             return 409, [], b"{}"
         expires_at = now + order["holdMs"] / 1000
-        self.tickets[order["id"]] = _Reservation(order["tokens"], expires_at)
+        self.tickets[order["id"]] = _Ticket(order["tokens"], expires_at)
         return 200, [], b'{"free": 0}'
 
     def _limit_headers(self) -> list[tuple[str, str]]:
