--- a/cranberrywick/bench/__init__.py
+++ b/cranberrywick/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; each prints the tables that docs/MEASUREMENTS.md shows."""
+"""Benchmarks; their output is the tables in docs/MEASUREMENTS.md."""
--- a/cranberrywick/bench/__main__.py
+++ b/cranberrywick/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Print the tables of the scheduling decisions: ``python -m cranberrywick.bench``."""
+"""Print the tables of the scheduling benchmark: ``python -m cranberrywick.bench``."""
 
 from cranberrywick.bench.command import main
 
--- a/cranberrywick/bench/arrivals.py
+++ b/cranberrywick/bench/arrivals.py
@@ -1,9 +1,9 @@
-"""Seeded arrivals at the brief's sizes, and what the fleet can bear of them.
+"""Seeded arrivals of prompts, and the arrival rate that a fleet can serve.
 
-Prompts go from a thousand to a million tokens and one in fifty is over a hundred
-thousand. Short ones are summaries, middle ones questions over a rulebook, long
-ones reviews of a dossier; each class has its own targets. Half of an
-organisation's prompts share a prefix with earlier ones.
+Prompts have from a thousand to a million tokens, and one in fifty has over a hundred
+thousand. Short prompts are summaries, medium ones questions about a rulebook, long
+ones reviews of a dossier; each class has its own targets. Half of an organisation's
+prompts share a prefix with others.
 """
 
 from collections.abc import Callable
@@ -33,7 +33,8 @@
 SHORT_PROMPT_TOKENS = 8_000
 PREFILL_TOKENS_PER_SECOND = 40_000.0
 CACHE_TOKENS = 450_000
-# With this many streams an iteration that carries a prefill chunk takes 50 ms.
+# Streams at once of an engine; with so many an iteration that includes a prefill chunk
+# takes 50 ms.
 SLOTS = 64
 SHARED_PREFIX_SHARE = 0.5
 PREFIX_BLOCKS_AT_MOST = 16
@@ -48,7 +49,11 @@
 
 
 class Band(NamedTuple):
-    """One length band of the mix; lengths are log-uniform inside it."""
+    """One band of prompt lengths, in tokens, and its share of the prompts.
+
+    Lengths are log-uniform within the band; ``output_tokens`` is the mean length of an
+    answer.
+    """
 
     share: float
     class_name: str
@@ -65,14 +70,14 @@
 
 
 class Arrival(NamedTuple):
-    """One request of the run and the answer length that the engine will give."""
+    """One request and the length of the answer that the engine will generate."""
 
     work: Work
     output_tokens: int
 
 
 def endpoints(number: int = 16, domains: int = 3) -> dict[str, Endpoint]:
-    """Return a fleet of like engines spread over failure domains."""
+    """Return a fleet of identical engines spread over failure domains."""
     fleet = {}
     for index in range(number):
         endpoint_id = f"engine-{index:03d}"
@@ -98,10 +103,11 @@
     prefix: str = "",
     only_organisation: str | None = None,
 ) -> list[Arrival]:
-    """Return arrivals at ``rate`` a second, which may change with time.
+    """Return the arrivals of ``seconds`` seconds at ``rate`` requests a second.
 
-    A changing rate is followed by thinning against its value sampled each
-    tenth of a second.
+    The rate may be a function of the time. Then arrivals are drawn at its largest
+    value, sampled every tenth of a second, and thinned to the rate at their time.
+    ``prefix`` distinguishes the work ids of several calls.
     """
     random = Random(f"arrivals {seed} {prefix}")
     rate_at = rate if callable(rate) else lambda time: rate
@@ -119,7 +125,7 @@
 
 
 def _organisation(random: Random, organisations: int) -> str:
-    """Choose an organisation; a few are large (the first has about a third)."""
+    """Choose an organisation; of ten, the first has about a third of all prompts."""
     index = int(organisations * random.random() ** 2)
     return f"organisation-{index:04d}"
 
@@ -160,12 +166,12 @@
 
 
 def capacity_per_second(number_of_engines: int, found: list[Arrival]) -> float:
-    """Return the arrivals a second of this mix at which all engines are full.
+    """Return the arrival rate of this mix, a second, that saturates the engines.
 
-    At saturation each iteration carries one prefill chunk and a token of each
-    stream, so the streams per engine are output tokens over prefill chunks of
-    the mean request. Prefix-cache hits are left out: they are the scheduler's
-    to earn.
+    At saturation each iteration processes one prefill chunk and one token of each
+    stream, so an engine has as many streams as the mean request has output tokens for
+    each prefill chunk. Hits in the prefix cache are not counted, since they depend on
+    the scheduler that is being measured.
     """
     return number_of_engines / (_iteration_seconds(found) * _mean_chunks(found))
 
--- a/cranberrywick/bench/claims.py
+++ b/cranberrywick/bench/claims.py
@@ -1,7 +1,7 @@
-"""What a claim costs: bytes kept, processor time, and the platform's calls.
+"""Measure what a claim costs: bytes stored, processor time and calls to the store.
 
-Run ``python -m cranberrywick.bench.claims``. The platform is the stand-in in this
-process, so the figures are of the daemon's own work, not of a network.
+Run ``python -m cranberrywick.bench.claims``. The store is a stand-in in the same
+process, so the figures cover the daemon's own work and no network.
 """
 
 import secrets
@@ -14,15 +14,19 @@
 
 __all__ = ["main"]
 
+# Numbers of claims that the bucket already holds, one row of the table for each.
 KEPT_CLAIMS = (0, 100, 1_000, 3_000)
-# A booking's answer.
+# An answer of the size of a booking's, which is kept with the claim.
 RESULT = RecordedResult(200, "application/json", b"x" * 300)
 REPEATS = 30
-# One value, so that the time is that of a bucket of this many claims.
+# All claims go into one bucket (one value of the store), so that the time is that of a
+# bucket with the number of claims in the row.
 BUCKETS = 1
+# Numbers of concurrent callers, one row of the table for each.
 CALLERS = (1, 8, 64)
 CALLS_EACH = 4
-# The stand-in answers at once; a platform's write takes some milliseconds.
+# Added delay of a write, in seconds: a real store takes some milliseconds, the stand-in
+# next to nothing.
 WRITE_SECONDS = 0.005
 
 
--- a/cranberrywick/bench/clock.py
+++ b/cranberrywick/bench/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock: events in order of time, then of scheduling."""
+"""A virtual clock, which runs events in order of time, then of scheduling."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -8,7 +8,7 @@
 
 
 class VirtualClock:
-    """Run callbacks at their virtual time; nothing ever waits.
+    """Runs callbacks in order of their virtual time, in seconds, without waiting.
 
     >>> clock = VirtualClock()
     >>> clock.at(2.0, lambda: print(clock.now))
@@ -22,15 +22,15 @@
         self._order = count()
 
     def at(self, time: float, callback: Callable[[], None]) -> None:
-        """Call ``callback`` at ``time``, or now if that has passed."""
+        """Call ``callback`` at ``time``, or at the present time if that has passed."""
         heappush(self._events, (max(time, self.now), next(self._order), callback))
 
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call ``callback`` when ``seconds`` have passed."""
+        """Call ``callback`` after ``seconds``."""
         self.at(self.now + seconds, callback)
 
     def run(self) -> None:
-        """Run until no event is left."""
+        """Run until there are no more events."""
         while self._events:
             self.now, _, callback = heappop(self._events)
             callback()
--- a/cranberrywick/bench/command.py
+++ b/cranberrywick/bench/command.py
@@ -1,4 +1,4 @@
-"""The bench's command line."""
+"""Command line of the scheduling benchmark."""
 
 import time
 from multiprocessing import Pool
@@ -15,12 +15,13 @@
 
 STRATEGY_NAMES = ("round-robin", "least-outstanding", "cranberrywick")
 COST = "cost"
+# Endpoints and organisations of each run that measures the cost of a decision.
 SIZES = ((16, 10), (16, 2_100), (620, 10), (620, 2_100))
 
 Job = tuple[str, str, int]
 
 
-def _row(job: Job) -> Row:
+def _run_job(job: Job) -> Row:
     scenario, strategy, seed = job
     return SCENARIOS[scenario](strategy, seed)
 
@@ -75,8 +76,10 @@
     ]
     results: dict[str, dict[str, list[Row]]] = {}
     with Pool(processes) as pool:
-        # One at a time and in order, so that progress shows while others run.
-        with click.progressbar(pool.imap(_row, jobs), len(jobs), file=_stderr()) as bar:
+        # `imap` yields each result as it comes, in order, so that the bar advances.
+        with click.progressbar(
+            pool.imap(_run_job, jobs), len(jobs), file=_stderr()
+        ) as bar:
             for (name, strategy, _), row in zip(jobs, bar, strict=True):
                 results.setdefault(name, {}).setdefault(strategy, []).append(row)
     return results
--- a/cranberrywick/bench/daemons.py
+++ b/cranberrywick/bench/daemons.py
@@ -1,12 +1,12 @@
-"""Several daemons before one fleet, each with a strategy and a view of its own.
+"""Several daemons that send to one fleet, each with its own strategy and state.
 
-Callers spread their requests over the daemons; load reports and orders reach all of
-them; nothing else is shared. So it shows what daemons overrun that know of each
-other only through the endpoints' late reports.
+Callers spread their requests over the daemons. Load reports and orders reach all of
+them, and they share nothing else, so that each sees the others' requests only in the
+endpoints' delayed reports. The benchmark shows how far they overload endpoints.
 
-With leases, each endpoint's slots are granted by one ledger as in the product, asked
-anew with each report. Messages there are not lost or late: what that does to leases
-is tested with the grants themselves.
+With leases, one ledger for each endpoint grants its slots, as in the product, and each
+daemon sends its demand after each report. Messages are neither lost nor late here; the
+tests of the grants cover what that does to leases.
 """
 
 from collections import Counter
@@ -33,14 +33,15 @@
 __all__ = ["Daemons"]
 
 
-# Ledgers grant only after a lease's lifetime; these have been stewards for long.
+# Time at which the ledgers' stewards started, in seconds. A ledger grants nothing until
+# a lease's lifetime after that, so that the run starts with ledgers that grant.
 STEWARD_SINCE_SECONDS = -100.0
-# What a daemon asks for beyond what it has running.
+# Slots that a daemon requests beyond those it has in use.
 SPARE_SLOTS_WANTED = 2
 
 
 class _Leases:
-    """The ledger of each endpoint, and what each daemon holds of it."""
+    """The ledger of each endpoint, and the shares that each daemon holds."""
 
     def __init__(self, number: int):
         self._number = number
@@ -55,8 +56,8 @@
             ledger = Ledger(endpoint, STEWARD_SINCE_SECONDS)
             self._ledgers_by_id[endpoint_id] = ledger
 
-    def ask(self, load: EndpointLoad, now: float) -> None:
-        """Let every daemon ask the endpoint's ledger, after a report."""
+    def send_demands(self, load: EndpointLoad, now: float) -> None:
+        """Send each daemon's demand to the endpoint's ledger, after a load report."""
         ledger = self._ledgers_by_id[load.endpoint_id]
         ledger.report(load, now)
         self._round += 1
@@ -81,7 +82,10 @@
 
 
 class Daemons(Strategy):
-    """Passes each request to the next of ``number`` daemons, and all else to all."""
+    """Offers requests to ``number`` daemons in turn, and passes all else to every one.
+
+    ``name`` is the strategy of each daemon.
+    """
 
     def __init__(self, name: str, number: int, seed: int, with_leases: bool = False):
         super().__init__(seed)
@@ -91,17 +95,17 @@
             make_strategy(name, seed * number + index) for index in range(number)
         ]
         self._daemon_by_work: dict[str, Strategy] = {}
-        self._offered = 0
+        self._offer_count = 0
 
     def offer(self, work: Work, now: float) -> Queued | Refused:
         """Offer the work to the next daemon."""
-        daemon = self._daemons[self._offered % len(self._daemons)]
-        self._offered += 1
+        daemon = self._daemons[self._offer_count % len(self._daemons)]
+        self._offer_count += 1
         self._daemon_by_work[work.work_id] = daemon
         return daemon.offer(work, now)
 
     def poll(self, now: float) -> list[Send | GiveUp]:
-        """Return what any daemon does now."""
+        """Return the actions of all daemons."""
         actions = []
         for index, daemon in enumerate(self._daemons):
             for action in daemon.poll(now):
@@ -122,57 +126,57 @@
             self._leases.completed[here] += succeeded
 
     def next_wake(self, now: float) -> float | None:
-        """Return the first wake of all."""
+        """Return the earliest time at which a daemon is to be polled."""
         wakes = [daemon.next_wake(now) for daemon in self._daemons]
         return min((wake for wake in wakes if wake is not None), default=None)
 
     def first_token(self, work_id: str, now: float) -> None:
-        """Tell the daemon that sent the work."""
+        """Pass the event to the daemon that sent the work."""
         self._daemon_by_work[work_id].first_token(work_id, now)
 
     def finished(
         self, work_id: str, result: SendResult, now: float
     ) -> Settled | Retry | Refused:
-        """Tell the daemon that sent the work."""
+        """Pass the event to the daemon that sent the work."""
         self._count_ended(work_id, result.succeeded)
         return self._daemon_by_work[work_id].finished(work_id, result, now)
 
     def withdraw(self, work_id: str, now: float) -> None:
-        """Tell the daemon that has the work."""
+        """Withdraw the work from the daemon that has it."""
         self._count_ended(work_id, succeeded=False)
         self._daemon_by_work[work_id].withdraw(work_id, now)
 
     def set_endpoints(
         self, endpoints_by_id: Mapping[str, Endpoint], now: float
     ) -> None:
-        """Tell all."""
+        """Pass the change to every daemon."""
         if self._leases is not None:
             self._leases.set_endpoints(endpoints_by_id)
         for daemon in self._daemons:
             daemon.set_endpoints(endpoints_by_id, now)
 
     def set_targets(self, targets_by_class: Mapping[str, ClassTargets]) -> None:
-        """Tell all."""
+        """Pass the change to every daemon."""
         for daemon in self._daemons:
             daemon.set_targets(targets_by_class)
 
     def set_domains_out(self, domains: frozenset[str], now: float) -> None:
-        """Tell all."""
+        """Pass the change to every daemon."""
         for daemon in self._daemons:
             daemon.set_domains_out(domains, now)
 
     def set_shares(self, shares_by_endpoint: Mapping[str, Share], now: float) -> None:
-        """Tell all."""
+        """Pass the change to every daemon."""
         for daemon in self._daemons:
             daemon.set_shares(shares_by_endpoint, now)
 
     def report_load(self, load: EndpointLoad, now: float) -> None:
-        """Tell all, and let them ask for leases."""
+        """Pass the report to every daemon, and renew the leases."""
         for daemon in self._daemons:
             daemon.report_load(load, now)
         if self._leases is None:
             return
-        self._leases.ask(load, now)
+        self._leases.send_demands(load, now)
         for daemon, shares in zip(
             self._daemons, self._leases.shares_by_daemon, strict=True
         ):
--- a/cranberrywick/bench/decision_cost.py
+++ b/cranberrywick/bench/decision_cost.py
@@ -1,7 +1,7 @@
-"""What one decision costs in processor time, by fleet size and organisations.
+"""Measure the time of one decision, by size of the fleet and number of organisations.
 
-The strategy runs against the fake fleet at a load above its capacity, so that there
-is a queue, and each of its calls is timed with the processor clock.
+The strategy runs against simulated engines at a load above their capacity, so that
+there is a queue, and each of its calls is timed.
 """
 
 import gc
@@ -17,22 +17,24 @@
 
 __all__ = ["CallCost", "measure"]
 
+# Arrival rate as a multiple of the fleet's capacity.
 LOAD = 1.2
-# About as many requests whatever the size of the fleet.
+# Approximate number of requests of a run; the same for all sizes of the fleet.
 REQUESTS = 6_000
+# Methods of the strategy that are timed.
 TIMED = ("offer", "poll", "first_token", "finished", "report_load", "next_wake")
 
 
 class CallCost(NamedTuple):
-    """Microseconds of one kind of call."""
+    """Duration of one kind of call, in microseconds."""
 
     mean: float
     percentile_99: float
     largest: float
 
 
-class _Timed:
-    """Passes calls on to a strategy and keeps what each took."""
+class _TimedStrategy:
+    """Passes calls on to a strategy and records the duration of each."""
 
     def __init__(self, strategy: Strategy):
         self._strategy = strategy
@@ -56,12 +58,13 @@
 def measure(
     strategy: str, number_of_endpoints: int, organisations: int, seed: int = 0
 ) -> dict[str, CallCost]:
-    """Return the cost of each kind of call."""
+    """Return the cost of each kind of call, by the name of the method."""
     sample = arrivals(0, 20.0, 5_000.0)
     rate = LOAD * capacity_per_second(number_of_endpoints, sample)
     found = arrivals(seed, rate, REQUESTS / rate, organisations)
-    timed = _Timed(make_strategy(strategy, seed))
-    # Else collecting the bench's own objects would count as the strategy's time.
+    timed = _TimedStrategy(make_strategy(strategy, seed))
+    # Otherwise the collection of the benchmark's own objects would count as time of
+    # the strategy.
     gc.disable()
     Run(timed, endpoints(number_of_endpoints), found).start()
     gc.enable()
--- a/cranberrywick/bench/drawn_deployments.py
+++ b/cranberrywick/bench/drawn_deployments.py
@@ -1,8 +1,12 @@
-"""Deployments drawn at random, so that no price is fitted to one of them.
+"""Placement of prompts in deployments drawn at random.
+
+Prices that are tuned to one deployment can fail in another; here each seed draws other
+engines, daemons and prompts.
 
     python -m cranberrywick.bench.drawn_deployments --count 50
 
-prints the share of the worth that is on time: mean, worst tenth and least.
+prints the share of the prompts, weighted by worth, that are on time: the mean over all
+deployments, the mean of the worst tenth and the lowest.
 """
 
 import random
@@ -19,13 +23,13 @@
 
 __all__ = ["DrawnDeployment", "draw_deployment", "worth_on_time"]
 
-# What share of the engines' time reading takes: a quiet hour to a hard one. Above it
-# most is late whatever is decided.
+# Smallest and largest share of the engines' time that prefill takes, for quiet and busy
+# hours. Above 0.4 most prompts are late, whatever the placement.
 LEAST_LOAD, MOST_LOAD = 0.05, 0.4
 
 
 class DrawnDeployment(NamedTuple):
-    """Engines, daemons and callers of one deployment."""
+    """Engines, daemons and kinds of prompts of one deployment."""
 
     profile: EngineProfile
     fleet: FleetShape
@@ -33,7 +37,7 @@
 
 
 def draw_deployment(seed: int) -> DrawnDeployment:
-    """Return the deployment of a seed."""
+    """Return the deployment that a seed draws."""
     rng = random.Random(seed)
     profile = _draw_profile(rng)
     engines = round(4 * 15 ** rng.random())
@@ -46,7 +50,9 @@
     tokens = sum(kind.per_second * kind.prompt_tokens for kind in kinds)
     profile = profile._replace(usual_prompt_tokens=tokens / arrivals)
     load = rng.uniform(LEAST_LOAD, MOST_LOAD)
-    # Longer prompts than the mean weigh more in the pairs: half as much again.
+    # The factor 1.5 corrects the work of mean prompts: prefill time grows faster than
+    # length (pairs of tokens), so that prompts above the mean add more than those below
+    # it save.
     rate = load * engines / (1.5 * work)
     fleet = FleetShape(engines, daemons, update_delay_seconds(daemons) + 0.002, rate)
     return DrawnDeployment(profile, fleet, kinds)
@@ -65,7 +71,7 @@
 
 
 def _draw_kind(rng: random.Random, kind: Kind, profile: EngineProfile) -> Kind:
-    """Return a kind with other sizes and limits; none that its engine can't keep."""
+    """Return a kind with other rates, sizes and limits that idle engines can meet."""
     tokens = kind.prompt_tokens * rng.uniform(0.5, 2.0)
     alone = prefill_time(profile, int(tokens))
     least_gap = 3 * profile.stride * profile.step_seconds
@@ -78,7 +84,10 @@
 
 
 def worth_on_time(seed: int, seconds: float) -> float:
-    """Return the share of the worth on time in the deployment of a seed."""
+    """Return the share of prompts on time, weighted by worth, in a seed's deployment.
+
+    Prompts arrive for ``seconds``.
+    """
     deployment = draw_deployment(seed)
     experiment = Experiment(
         "priced", seed, deployment.kinds, deployment.fleet, deployment.profile
@@ -91,7 +100,7 @@
 @click.option("--count", default=50, show_default=True)
 @click.option("--seconds", default=10.0, show_default=True)
 def main(count: int, seconds: float) -> None:
-    """Print the share of the worth on time over drawn deployments."""
+    """Print the share of prompts on time, weighted by worth, over drawn deployments."""
     shares = sorted(worth_on_time(seed, seconds) for seed in range(count))
     worst = shares[: max(1, count // 10)]
     click.echo(
