--- a/cranberrywick/bench/engine.py
+++ b/cranberrywick/bench/engine.py
@@ -1,18 +1,19 @@
-"""One fake model engine: continuous batching as a fluid on the virtual clock.
-
-It keeps what matters to a scheduler and nothing else. Prefill goes in arrival
-order in chunks, and each iteration carries one chunk and one token of every
-stream, so that a long prefill delays every prompt behind it and slows all
-streams, and many streams slow the prefill. Attention makes the time of a prompt
-grow faster than its length. A prompt holds cache memory from the start of its
-prefill to the end of its answer. What is left of the memory keeps prefix blocks,
-least recently used out first. A cold engine is slow, bears only a few requests
-and falls over under more.
-
-The figures are those of a mid-sized model on a runner of several accelerators:
-40,000 prompt tokens a second with nothing else running, and 12 ms an iteration
-without prefill, which doubles at 32 streams. Weights are read once an iteration,
-so the streams' tokens ride along with a chunk and add only their own time.
+"""A simulated model engine with continuous batching, on the virtual clock.
+
+It models only what a scheduler can observe. Prefill proceeds in chunks, in order of
+arrival, and each iteration processes one chunk and one token of every stream: a long
+prefill delays every prompt behind it and slows all streams, and many streams slow the
+prefill. Iterations are not simulated one by one; prefill and decoding progress
+continuously, at rates that change only when a prefill or a stream starts or ends.
+Attention makes the time of a prompt grow faster than its length. A prompt occupies
+cache memory from the start of its prefill to the end of its answer. The remaining
+memory holds prefix blocks, evicted by least recent use. A cold engine is slow, and
+crashes when it gets more than a few requests at once.
+
+The figures are those of a medium-sized model on several accelerators: 40,000 prompt
+tokens a second with nothing else running, and 12 ms for an iteration without prefill,
+which doubles at 32 streams. Weights are read once for each iteration, so that the
+streams' tokens add only their own time to that of a chunk.
 """
 
 from collections import OrderedDict, deque
@@ -39,39 +40,41 @@
     "prefill_tokens_effective",
 ]
 
+# Prompt tokens that an iteration prefills at most.
 CHUNK_TOKENS = 1024
-# An iteration without prefill, which reads all weights once.
+# Duration of an iteration without prefill, in seconds, which reads all weights once.
 DECODE_ITERATION_SECONDS = 0.012
-# What each stream adds to an iteration; its token rides along with the chunk.
+# Time that each stream adds to an iteration, in seconds.
 STREAM_SECONDS = 0.000375
-# Prompt length at which attention costs as much as everything else.
+# Prompt length, in tokens, at which attention takes as long as everything else.
 ATTENTION_TOKENS = 600_000
 PREFIX_BLOCK_TOKENS = 1024
-# A cold engine compiles kernels and loads weights beside its work.
+# Factor on the time of everything in a cold engine, which compiles kernels and loads
+# weights at the same time.
 COLD_SLOWDOWN = 4.0
 COLD_COMPLETIONS_TO_WARM = 6
 
 
 def prefill_tokens_effective(tokens: float) -> float:
-    """Return the prompt's cost in tokens at the speed of a short prompt."""
+    """Return the length of a prompt without attention that takes as long to prefill."""
     return tokens * (1.0 + tokens / ATTENTION_TOKENS)
 
 
 class Listener(NamedTuple):
-    """Whom the engine tells about one request."""
+    """Callbacks for the first token and the end of one request."""
 
     first_token: Callable[[], None]
     ended: Callable[[SendResult], None]
 
 
 class Prefill(NamedTuple):
-    """One prefill that was carried through."""
+    """Start and end of one completed prefill, in seconds of virtual time."""
 
     began_at: float
     ended_at: float
 
 
-class _Job:
+class _EngineRequest:
     def __init__(
         self,
         work: Work,
@@ -88,22 +91,23 @@
         self.sent_at = now
         self.first_token_at: float | None = None
         self.prefill_left = 0.0
-        self.prefill_whole = 1.0
+        self.prefill_total = 1.0
         self.prefill_began_at = 0.0
         self.started = False
         self.ended = False
 
     @property
     def tokens_left(self) -> int:
-        """Prompt tokens still to be read, which is what engines report."""
-        return int(self.work.prompt_tokens * self.prefill_left / self.prefill_whole)
+        """Prompt tokens not yet prefilled, which engines report."""
+        return int(self.work.prompt_tokens * self.prefill_left / self.prefill_total)
 
 
 class FakeEngine:
-    """The engine behind one endpoint.
+    """The simulated engine of one endpoint.
 
-    ``slowdown`` multiplies the time of everything; ``dead`` makes every request
-    fail as a broken connection does.
+    ``slowdown`` multiplies the time of everything; while ``dead``, every request fails
+    like one whose connection is refused. ``cold_overruns`` counts the crashes by too
+    many requests while cold, and ``accepted`` has the ids of all work accepted.
     """
 
     def __init__(self, endpoint: Endpoint, clock: VirtualClock):
@@ -113,16 +117,16 @@
         self.slowdown = 1.0
         self.dead = False
         self.most_running_while_cold = 0
-        self.fell_over = 0
-        # Engine time spent on each request's prefill, and when it ended.
+        self.cold_overruns = 0
+        # When the prefill of each request started and ended.
         self.prefills_by_work: dict[str, Prefill] = {}
         self.accepted: list[str] = []
         self._clock = clock
         self._completions_while_cold = 0
-        self._waiting: deque[_Job] = deque()
-        self._prefilling: _Job | None = None
-        self._decoding: list[tuple[float, int, _Job]] = []
-        self._jobs_by_id: dict[str, _Job] = {}
+        self._waiting: deque[_EngineRequest] = deque()
+        self._prefilling: _EngineRequest | None = None
+        self._decoding: list[tuple[float, int, _EngineRequest]] = []
+        self._jobs_by_id: dict[str, _EngineRequest] = {}
         self._cache_used = 0
         self._held_by_work: dict[str, int] = {}
         self._prefixes: OrderedDict[str, None] = OrderedDict()
@@ -132,7 +136,7 @@
         self._order = count()
 
     def load(self) -> EndpointLoad:
-        """Describe the engine as it is now."""
+        """Return the present load of the engine."""
         self._advance()
         waiting_tokens = sum(job.work.prompt_tokens for job in self._waiting)
         if self._prefilling is not None:
@@ -151,17 +155,17 @@
 
     @property
     def cache_free(self) -> int:
-        """Memory that neither requests nor parts of gangs have."""
+        """Tokens of memory used neither by requests nor by parts of joint prompts."""
         return self.endpoint.cache_tokens - self._cache_used
 
     def hold(self, work_id: str, tokens: int) -> None:
-        """Hold a part of a gang's prompt for another engine."""
+        """Reserve memory for a part of a joint prompt that another engine leads."""
         self._held_by_work[work_id] = tokens
         self._cache_used += tokens
-        self._fit_prefixes()
+        self._evict_prefixes()
 
     def release(self, work_id: str) -> None:
-        """Give the memory of `hold` back."""
+        """Free the memory that `hold` reserved for this work, if any."""
         self._advance()
         self._cache_used -= self._held_by_work.pop(work_id, 0)
         self._reschedule()
@@ -173,8 +177,14 @@
         listener: Listener,
         cache_tokens: int | None = None,
     ) -> None:
-        """Take one request; a gang's leader holds ``cache_tokens`` of it."""
-        job = _Job(work, output_tokens, listener, self._clock.now, cache_tokens)
+        """Queue a request, or end it at once as not run.
+
+        The leader of a joint prompt uses ``cache_tokens`` of memory, any other engine
+        those of the whole prompt and the longest answer.
+        """
+        job = _EngineRequest(
+            work, output_tokens, listener, self._clock.now, cache_tokens
+        )
         if job.cache_tokens > self.endpoint.cache_tokens:
             self._end(job, succeeded=False, executed=Executed.NO)
             return
@@ -192,13 +202,13 @@
             running = len(self._jobs_by_id)
             self.most_running_while_cold = max(self.most_running_while_cold, running)
             if running > self.endpoint.cold_slots:
-                self.fell_over += 1
+                self.cold_overruns += 1
                 self.crash()
                 return
         self._reschedule()
 
     def cancel(self, work_id: str) -> None:
-        """Drop a request and give its memory back."""
+        """Drop a request, if it has not ended, and free its memory."""
         job = self._jobs_by_id.get(work_id)
         if job is None:
             return
@@ -207,7 +217,7 @@
         self._reschedule()
 
     def crash(self) -> None:
-        """Lose every request and start again, cold."""
+        """Fail every request and restart cold."""
         jobs = list(self._jobs_by_id.values())
         for job in jobs:
             self._remove(job)
@@ -218,16 +228,16 @@
         self._reschedule()
 
     def die(self) -> None:
-        """Lose every request and answer nothing until `start`."""
+        """Fail every request, now and until `start`."""
         self.dead = True
         self.crash()
 
     def start(self) -> None:
-        """Answer again, cold."""
+        """Accept requests again, cold."""
         self.dead = False
 
     def turn_cold(self) -> None:
-        """Become cold, as a process that has just started is."""
+        """Become cold with a new incarnation, like a process that has just started."""
         self._advance()
         self.incarnation += 1
         self.phase = EndpointPhase.COLD
@@ -235,13 +245,13 @@
         self._reschedule()
 
     def set_slowdown(self, slowdown: float) -> None:
-        """Make everything take ``slowdown`` times as long from now on."""
+        """Make everything take ``slowdown`` times as long as declared from now on."""
         self._advance()
         self.slowdown = slowdown
         self._reschedule()
 
     def _rates(self) -> tuple[float, float]:
-        """Return prefill and decode tokens per second (the latter of one stream)."""
+        """Return tokens per second of prefill, and of decoding in each stream."""
         if self._prefilling is None and not self._decoding:
             return 0.0, 0.0
         iteration = STREAM_SECONDS * len(self._decoding)
@@ -293,22 +303,22 @@
         cached = self._use_prefixes(job.work.prefix_keys) * PREFIX_BLOCK_TOKENS
         whole = prefill_tokens_effective(job.work.prompt_tokens)
         job.prefill_left = max(1.0, whole - prefill_tokens_effective(cached))
-        job.prefill_whole = job.prefill_left
+        job.prefill_total = job.prefill_left
         job.prefill_began_at = self._clock.now
         self._prefilling = job
 
     def _use_prefixes(self, keys: tuple[str, ...]) -> int:
-        """Return how many leading blocks were cached; cache them all."""
+        """Cache all blocks; return how many leading ones were cached before."""
         hit = 0
         while hit < len(keys) and keys[hit] in self._prefixes:
             hit += 1
         for key in keys:
             self._prefixes[key] = None
             self._prefixes.move_to_end(key)
-        self._fit_prefixes()
+        self._evict_prefixes()
         return hit
 
-    def _fit_prefixes(self) -> None:
+    def _evict_prefixes(self) -> None:
         free = max(0, self.cache_free)
         while len(self._prefixes) * PREFIX_BLOCK_TOKENS > free:
             self._prefixes.popitem(last=False)
@@ -340,7 +350,7 @@
         if self._completions_while_cold >= COLD_COMPLETIONS_TO_WARM:
             self.phase = EndpointPhase.WARM
 
-    def _remove(self, job: _Job) -> None:
+    def _remove(self, job: _EngineRequest) -> None:
         self._jobs_by_id.pop(job.work.work_id, None)
         if not job.started:
             self._waiting = deque(other for other in self._waiting if other is not job)
@@ -354,7 +364,11 @@
             self._decoding.sort()
 
     def _end(
-        self, job: _Job, succeeded: bool, executed: Executed, leaving: bool = False
+        self,
+        job: _EngineRequest,
+        succeeded: bool,
+        executed: Executed,
+        leaving: bool = False,
     ) -> None:
         if job.ended:
             return
--- a/cranberrywick/bench/plots.py
+++ b/cranberrywick/bench/plots.py
@@ -12,13 +12,16 @@
 
 Results = Mapping[str, Mapping[str, Sequence[Row]]]
 
-# Scenario, its figure, title, and whether its axis is logarithmic.
+# Scenarios of each plot.
 SLOWDOWN = ("shorts-70", "shorts-90")
 OVERLOAD = ("overload-2x", "overload-10x")
 
 
 def write_plots(results: Results, folder: Path) -> list[Path]:
-    """Write what can be plotted of ``results`` (scenario, strategy, rows)."""
+    """Write the plots whose scenarios are in ``results`` and return their files.
+
+    ``results`` has the rows of each strategy, by scenario and strategy.
+    """
     plots = (
         (
             "slowdown",
@@ -53,7 +56,7 @@
     title: str,
     is_logarithmic: bool,
 ) -> None:
-    # No script from another host in a file that people open offline.
+    # By default pygal refers to scripts on another host, which fail offline.
     config = Config(js=[], logarithmic=is_logarithmic, print_values=True)
     chart = Bar(config, title=f"{title} (median of the seeds)")
     chart.value_formatter = lambda value: f"{value:.3g}"
--- a/cranberrywick/bench/scenarios.py
+++ b/cranberrywick/bench/scenarios.py
@@ -293,7 +293,7 @@
         "failed": sum(one.outcome == "failed" for one in received),
         "missed": sum(one.outcome == "missed" for one in received),
         "ran twice": run.not_idempotent_run_twice(),
-        "cold overruns": sum(e.fell_over for e in run.engines_by_id.values()),
+        "cold overruns": sum(e.cold_overruns for e in run.engines_by_id.values()),
     }
 
 
--- a/cranberrywick/bench/simulated_network.py
+++ b/cranberrywick/bench/simulated_network.py
@@ -1,4 +1,4 @@
-"""Daemons that tell one another news on a network without sockets."""
+"""Daemons that exchange updates over a simulated network, without sockets."""
 
 import asyncio
 import random
@@ -24,17 +24,19 @@
 
 __all__ = ["SimulatedDaemon", "SimulatedNetwork"]
 
+# Delay of a datagram between two daemons, in seconds.
 HOP_SECONDS = 0.001
 
 _incarnations = count(1)
 
 
 class SimulatedNetwork:
-    """Carries datagrams between daemons; some are cut off, a share is lost.
+    """Delivers datagrams between daemons, except those that a fault loses.
 
-    ``cut`` has the addresses that reach nobody, ``is_cut`` tells whether one address
-    can't reach another.
-    ``received_bytes`` and ``received_datagrams`` count by the receiver's address.
+    Addresses in ``cut`` neither send nor receive, ``is_cut(source, target)`` returns
+    whether datagrams from one address to another are lost, and ``loss`` is the share of
+    all others that is lost. ``received_bytes`` and ``received_datagrams`` count by the
+    receiver's address, lost datagrams included.
     """
 
     def __init__(self) -> None:
@@ -47,7 +49,7 @@
         self._rng = random.Random(1)
 
     def carry(self, source: str, address: str, data: bytes) -> None:
-        """Take a datagram to its receiver."""
+        """Deliver a datagram to its receiver after `HOP_SECONDS`, or lose it."""
         self.received_datagrams[address] += 1
         self.received_bytes[address] += len(data)
         if {source, address} & self.cut or self.is_cut(source, address):
@@ -61,10 +63,10 @@
 
 
 class SimulatedDaemon:
-    """One daemon's news, with a link into the network in place of sockets.
+    """The peer updates of one daemon, which is their link to the network as well.
 
-    ``hearing_seconds`` and ``telling_seconds`` are the processor time that reading and
-    taking messages, and writing them, took so far.
+    ``receiving_seconds`` is the processor time spent so far on decoding and applying
+    messages, ``sending_seconds`` that on encoding them.
     """
 
     def __init__(
@@ -81,8 +83,8 @@
         self.snapshots: list[EndpointSnapshot] = []
         self.newcomers: list[str] = []
         self.leaving = False
-        self.hearing_seconds = 0.0
-        self.telling_seconds = 0.0
+        self.receiving_seconds = 0.0
+        self.sending_seconds = 0.0
         settings = SimpleNamespace(
             daemon_id=name,
             ip=name,
@@ -94,15 +96,15 @@
         )
         self.peer_updates = PeerUpdates(settings, self, EventLog())
         self.peer_updates.link = self
-        # The same on every run, whatever the time of day.
+        # Seeded, so that every run is the same.
         self.peer_updates._rng.seed(name)
         self.peer_updates._incarnation = next(_incarnations)
         network.daemons_by_address[self.address] = self
 
-    # What the news ask of a link
+    # Methods that `PeerUpdates` calls on its link
 
     async def start(self, *_: object) -> None:
-        """Do nothing: the network calls `receive`."""
+        """Do nothing; the network calls `receive` without further setup."""
 
     def send(
         self,
@@ -110,62 +112,62 @@
         addresses: Iterable[str],
         scope: Scope = Scope.NOBODY,
     ) -> None:
-        """Send a message to each address."""
+        """Send a message to each of the addresses."""
         started = time.thread_time()
         data = encode_message(message, asyncio.get_running_loop().time(), scope)
-        self.telling_seconds += time.thread_time() - started
+        self.sending_seconds += time.thread_time() - started
         for address in addresses:
             self.network.carry(self.address, address, data)
 
     def receive(self, data: bytes, source: str) -> None:
-        """Take a datagram."""
+        """Decode a datagram and apply its message."""
         started = time.thread_time()
         now = asyncio.get_running_loop().time()
         self.peer_updates._receive(decode_message(data, now), source)
-        self.hearing_seconds += time.thread_time() - started
+        self.receiving_seconds += time.thread_time() - started
 
-    # What the news ask of whom they serve
+    # Methods that `PeerUpdates` calls on its owner
 
     def daemon_status(self, now: float) -> DaemonStatus:
-        """Return what this daemon tells of itself."""
+        """Return the state of this daemon that its heartbeats carry."""
         return DaemonStatus(self.leaving, 1, 1, 0.0)
 
     def heartbeat_received(self, heartbeat: Heartbeat, received_at: float) -> None:
-        """Do nothing: the news keep what was heard."""
+        """Do nothing; `PeerUpdates` records the heartbeat itself."""
 
     def endpoints_received(self, snapshot: EndpointSnapshot) -> None:
-        """Keep a reading."""
+        """Record a snapshot."""
         self.snapshots.append(snapshot)
 
     def peer_joined(self, peer_address: str) -> None:
-        """Keep whom this daemon would tell the endpoints."""
+        """Record the address of a peer, to which a daemon would send the endpoints."""
         self.newcomers.append(peer_address)
 
     def answer(self, request: SnapshotRequest) -> Message | None:
-        """Return nothing: this daemon knows neither endpoints nor configuration."""
+        """Return None, as this daemon has neither endpoints nor configuration."""
         return None
 
     def declared_rate(self, endpoint_id: str) -> float:
-        """Return that no endpoint is cold."""
+        """Return infinity: no endpoint is cold."""
         return inf
 
-    # What scenes do and ask
+    # Methods for tests and benchmarks
 
     def knows_job_of(self, other: "SimulatedDaemon") -> bool:
-        """Whether the job that another took is counted here, once."""
+        """Return whether the other daemon's job is in this one's load exactly once."""
         return len(self.peer_updates.load.at(f"e-{other.name}")) == 1
 
     def take_job(self) -> None:
-        """Place a request on an endpoint that no other daemon uses."""
+        """Place a request on an endpoint that no other daemon uses; send an update."""
         now = asyncio.get_running_loop().time()
         self.put("request", [Job(f"e-{self.name}", 100, 1.0, now, now + 1.0)])
 
     def put(self, request_id: str, jobs: Sequence[Job]) -> None:
-        """Place a request and tell of it."""
+        """Add or change a request's jobs and send an update."""
         self.peer_updates.load.put(request_id, jobs)
         self.peer_updates.job_added()
 
     def drop(self, request_id: str) -> None:
-        """End a request and tell of it."""
+        """Remove a request's jobs and send an update."""
         self.peer_updates.load.drop(request_id)
         self.peer_updates.job_ended()
--- a/cranberrywick/bench/tables.py
+++ b/cranberrywick/bench/tables.py
@@ -1,4 +1,4 @@
-"""Tables in Markdown: for each figure the median over seeds and the worst seed."""
+"""Markdown tables of the figures: median over the seeds and worst seed."""
 
 from collections.abc import Mapping, Sequence
 from statistics import median
@@ -10,7 +10,7 @@
 
 
 def scenario_table(title: str, rows_by_strategy: Mapping[str, Sequence[Row]]) -> str:
-    """Return one scenario's figures, a column for each strategy."""
+    """Return the table of one scenario, with a column for each strategy."""
     names = list(rows_by_strategy)
     lines = [f"### {title}", "", _line(["median (worst seed)", *names])]
     lines.append(_line(["---"] + ["---:"] * len(names)))
@@ -21,7 +21,11 @@
 
 
 def cost_table(costs_by_size: Mapping[tuple[int, int], Mapping[str, CallCost]]) -> str:
-    """Return microseconds a call: mean / 99 in 100 / largest."""
+    """Return the table of the cost of calls, in microseconds.
+
+    ``costs_by_size`` has the cost of each call, by endpoints and organisations; a cell
+    has the mean, the 99th percentile and the largest.
+    """
     calls = list(next(iter(costs_by_size.values())))
     lines = [
         "### Microseconds a call: mean / 99 in 100 / largest",
--- a/cranberrywick/bench/virtual_time.py
+++ b/cranberrywick/bench/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time goes on by itself as soon as nothing is left to do."""
+"""An event loop in virtual time, which advances as soon as the loop is idle."""
 
 import asyncio
 import selectors
@@ -8,7 +8,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Advances the loop's time in place of waiting."""
+    """Advances the loop's time instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -27,22 +27,25 @@
     def time(self):
         return self._clock.now
 
-    def skip(self, seconds):
+    def advance(self, seconds):
         self._clock.now += seconds
 
 
 def virtual_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop whose time is virtual, to be run step by step."""
+    """Return an event loop in virtual time, for tests that run it step by step."""
     return _Loop()
 
 
 def stand_still(seconds: float) -> None:
-    """Let time pass while nothing on the running loop does, as in a freeze."""
-    asyncio.get_running_loop().skip(seconds)
+    """Advance the running loop's time by ``seconds`` without running anything.
+
+    This simulates a process that is suspended.
+    """
+    asyncio.get_running_loop().advance(seconds)
 
 
 def run_in_virtual_time(main: Coroutine):
-    """Run a coroutine to its end; a minute of its time takes no minute."""
+    """Run a coroutine in virtual time, without waiting, and return its result."""
     loop = virtual_loop()
     try:
         return loop.run_until_complete(main)
