--- a/cranberrywick/bench/simulated_network.py
+++ b/cranberrywick/bench/simulated_network.py
@@ -153,11 +153,11 @@
 
     # Methods for tests and benchmarks
 
-    def knows_job_of(self, other: "SimulatedDaemon") -> bool:
+    def counts_job_of(self, other: "SimulatedDaemon") -> bool:
         """Return whether the other daemon's job is in this one's load exactly once."""
         return len(self.peer_updates.load.at(f"e-{other.name}")) == 1
 
-    def take_job(self) -> None:
+    def place_job(self) -> None:
         """Place a request on an endpoint that no other daemon uses; send an update."""
         now = asyncio.get_running_loop().time()
         self.put("request", [Job(f"e-{self.name}", 100, 1.0, now, now + 1.0)])
--- a/cranberrywick/bench/virtual_time.py
+++ b/cranberrywick/bench/virtual_time.py
@@ -4,7 +4,7 @@
 import selectors
 from collections.abc import Coroutine
 
-__all__ = ["run_in_virtual_time", "stand_still", "virtual_loop"]
+__all__ = ["run_in_virtual_time", "suspend_loop", "virtual_loop"]
 
 
 class _Selector(selectors.SelectSelector):
@@ -36,7 +36,7 @@
     return _Loop()
 
 
-def stand_still(seconds: float) -> None:
+def suspend_loop(seconds: float) -> None:
     """Advance the running loop's time by ``seconds`` without running anything.
 
     This simulates a process that is suspended.
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 from limited_fleet import DOMAINS, LimitedFleet, play
 
-from cranberrywick.bench.virtual_time import stand_still, virtual_loop
+from cranberrywick.bench.virtual_time import suspend_loop, virtual_loop
 
 # Three times what the endpoints take.
 OVERLOAD = 3.0
@@ -109,7 +109,7 @@
 
         calls = [asyncio.create_task(call()) for _ in range(6)]
         await asyncio.sleep(0.5)
-        stand_still(6.0)
+        suspend_loop(6.0)
         woken_at = loop.time()
         await asyncio.gather(*calls)
         assert len(granted_at) == 6
--- a/tests/test_peer_updates.py
+++ b/tests/test_peer_updates.py
@@ -60,10 +60,10 @@
     """
 
     async def scene(network, daemons):
-        daemons[5].take_job()
+        daemons[5].place_job()
         await asyncio.sleep(0.15)
         others = [d for d in daemons if d is not daemons[5]]
-        assert all(daemon.knows_job_of(daemons[5]) for daemon in others)
+        assert all(daemon.counts_job_of(daemons[5]) for daemon in others)
 
     play(size, scene)
 
@@ -93,10 +93,10 @@
         assert relay.domain == sender.domain
         network.cut.add(relay.address)
         await asyncio.sleep(2.0)
-        sender.take_job()
+        sender.place_job()
         await asyncio.sleep(0.2)
         others = [d for d in daemons if d not in (relay, sender)]
-        assert all(daemon.knows_job_of(sender) for daemon in others)
+        assert all(daemon.counts_job_of(sender) for daemon in others)
         await asyncio.sleep(6.0)
         now = asyncio.get_running_loop().time()
         for daemon in others:
@@ -137,12 +137,12 @@
         await asyncio.sleep(3.0)
         network.cut.clear()
         await asyncio.sleep(1.5)
-        sender.take_job()
-        relay.take_job()
+        sender.place_job()
+        relay.place_job()
         await asyncio.sleep(0.2)
         for told in (relay, sender):
             others = [d for d in daemons if d is not told]
-            assert all(daemon.knows_job_of(told) for daemon in others)
+            assert all(daemon.counts_job_of(told) for daemon in others)
 
     play(40, scene)
 
