--- a/cranberrywick/bench/prompt_engines.py
+++ b/cranberrywick/bench/prompt_engines.py
@@ -1,15 +1,24 @@
 """Engines that work in passes, for the experiment in `cranberrywick.bench.prompts`.
 
-They do step by step what `cranberrywick.routing.engine_model` predicts by formula.
+They simulate pass by pass what `cranberrywick.routing.engine_model` predicts by
+formula.
 """
 
 from typing import NamedTuple
 
 from cranberrywick.routing.model import EngineProfile, PromptSize
 
-__all__ = ["KINDS", "PROFILE", "Kind", "Reading", "SimulatedEngine", "SimulatedPrompt"]
-
-# An engine as a service declares it: a 70-billion model on one accelerator.
+__all__ = [
+    "KINDS",
+    "PROFILE",
+    "Kind",
+    "PendingPrefill",
+    "SimulatedEngine",
+    "SimulatedPrompt",
+]
+
+# An engine as a service declares it: a model of 70 billion parameters on one
+# accelerator.
 PROFILE = EngineProfile(
     slots=8,
     memory_tokens=315_000,
@@ -25,9 +34,14 @@
 
 
 class Kind(NamedTuple):
-    """A kind of prompt: how often, how long, and what its callers expect.
-
-    ``spread`` is the standard deviation of the logarithm of its length.
+    """A kind of prompt: its rate, sizes, and the limits that its callers set.
+
+    ``per_second`` is the number of arrivals a second in a fleet with a rate of 1,
+    ``prompt_tokens`` the mean length, ``spread`` the standard deviation of the
+    logarithm of the length and ``events`` the median number of events of an answer. An
+    answer is on time when its first event comes within ``target_seconds`` and no pause
+    between events exceeds ``gap_seconds``; ``worth`` is the weight of a prompt of mean
+    length in the figures.
     """
 
     name: str
@@ -48,7 +62,10 @@
 
 
 class SimulatedPrompt:
-    """One prompt on its way, and what its caller has received of it."""
+    """One prompt in progress, and what its caller has received of the answer.
+
+    ``at`` is the time of its arrival and ``home`` the engine that writes the answer.
+    """
 
     def __init__(self, name: str, kind: Kind, size: PromptSize, at: float, events: int):
         self.name = name
@@ -64,10 +81,11 @@
         self.home: SimulatedEngine | None = None
 
 
-class Reading(NamedTuple):
-    """A part of a prompt that an engine has still to read.
+class PendingPrefill(NamedTuple):
+    """The part of a prompt that an engine has still to prefill.
 
-    ``helper`` says that another engine answers, ``joint`` that several read it.
+    ``helper`` means that another engine writes the answer, ``joint`` that several
+    engines prefill the prompt.
     """
 
     prompt: SimulatedPrompt
@@ -78,42 +96,53 @@
 
 
 class SimulatedEngine:
-    """One engine, advanced pass by pass."""
+    """One engine, advanced pass by pass.
+
+    Parts in ``waiting`` have no slot yet. ``busy`` is set while a pass is running.
+    """
 
     def __init__(self, name: str, profile: EngineProfile = PROFILE):
         self.name = name
         self._profile = profile
-        self.readings: list[Reading] = []
-        self.writers: list[SimulatedPrompt] = []
-        self.waiting: list[Reading] = []
+        self.prefills: list[PendingPrefill] = []
+        self.decoding_prompts: list[SimulatedPrompt] = []
+        self.waiting: list[PendingPrefill] = []
         self.busy = False
 
-    def add(self, reading: Reading) -> None:
-        if not reading.helper and self._own >= self._profile.slots:
-            self.waiting.append(reading)
+    def add(self, pending: PendingPrefill) -> None:
+        """Queue a part; helpers need no slot."""
+        if not pending.helper and self._slots_used >= self._profile.slots:
+            self.waiting.append(pending)
         else:
-            self._admit(reading)
+            self._admit(pending)
 
     @property
-    def _own(self) -> int:
-        return len(self.writers) + sum(not each.helper for each in self.readings)
+    def _slots_used(self) -> int:
+        return len(self.decoding_prompts) + sum(
+            not each.helper for each in self.prefills
+        )
 
     def admit(self) -> None:
-        while self.waiting and self._own < self._profile.slots:
+        """Give free slots to waiting parts."""
+        while self.waiting and self._slots_used < self._profile.slots:
             self._admit(self.waiting.pop(0))
 
-    def _admit(self, reading: Reading) -> None:
-        # Parts are read ahead of whole prompts, the last that came first.
-        self.readings.insert(0 if reading.joint else len(self.readings), reading)
+    def _admit(self, pending: PendingPrefill) -> None:
+        # Parts of joint prompts precede whole prompts, and the latest part comes first.
+        self.prefills.insert(0 if pending.joint else len(self.prefills), pending)
 
     def run_pass(self) -> tuple[float, list[SimulatedPrompt], list[SimulatedPrompt]]:
-        """Make one pass; return its length, who wrote and whose part was read."""
+        """Run one pass.
+
+        Return its duration in seconds, the prompts that decoded and those of which a
+        part was prefilled.
+        """
         self.admit()
         seconds, steps = 0.0, 1
-        if self.writers:
+        if self.decoding_prompts:
             steps = self._profile.stride
-            context = sum(each.size.total for each in self.writers)
-            own = len(self.writers) * self._profile.writer_seconds
+            context = sum(each.size.total for each in self.decoding_prompts)
+            own = len(self.decoding_prompts) * self._profile.writer_seconds
             step = (
                 self._profile.step_seconds
                 + own
@@ -121,15 +150,15 @@
             )
             seconds = steps * step
         budget = steps * self._profile.chunk_tokens
-        read: list[SimulatedPrompt] = []
-        while self.readings and budget > 0:
-            reading = self.readings[0]
-            taken = min(budget, reading.tokens)
+        prefilled: list[SimulatedPrompt] = []
+        while self.prefills and budget > 0:
+            pending = self.prefills[0]
+            taken = min(budget, pending.tokens)
             budget -= taken
-            seconds += taken * reading.seconds_per_token
-            if taken >= reading.tokens:
-                self.readings.pop(0)
-                read.append(reading.prompt)
+            seconds += taken * pending.seconds_per_token
+            if taken >= pending.tokens:
+                self.prefills.pop(0)
+                prefilled.append(pending.prompt)
             else:
-                self.readings[0] = reading._replace(tokens=reading.tokens - taken)
-        return seconds, list(self.writers), read
+                self.prefills[0] = pending._replace(tokens=pending.tokens - taken)
+        return seconds, list(self.decoding_prompts), prefilled
--- a/cranberrywick/bench/prompts.py
+++ b/cranberrywick/bench/prompts.py
@@ -1,13 +1,13 @@
-"""Prompts of unlike lengths on shared engines: an experiment without a network.
+"""Placement of prompts of very different lengths on shared engines, simulated.
 
-Engines work in the passes that `cranberrywick.routing.engine_model` describes, here
-step by step and not by formula; several daemons place prompts with partial views.
-What callers receive is judged as they judge it: the first event within the target,
-and no pause between events above the limit.
+Engines work in passes, which `cranberrywick.routing.engine_model` describes and this
+experiment simulates one by one. Several daemons place prompts, and each receives the
+others' updates with a delay. An answer is on time when its first event comes within the
+target and no pause between events exceeds the limit.
 
     python -m cranberrywick.bench.prompts --seeds 5
 
-prints, for each strategy and kind of prompt, the share that was on time.
+prints the share of answers on time for each strategy and kind of prompt.
 """
 
 import heapq
@@ -23,7 +23,7 @@
     KINDS,
     PROFILE,
     Kind,
-    Reading,
+    PendingPrefill,
     SimulatedEngine,
     SimulatedPrompt,
 )
@@ -53,16 +53,17 @@
     "scaled",
 ]
 
-# How long after its last arrival an experiment goes on, so that every answer ends.
+# Time that an experiment continues after the last arrival, in seconds, so that answers
+# can end.
 TAIL_SECONDS = 30.0
 
 
 class FleetShape(NamedTuple):
-    """How many engines and daemons there are.
+    """Numbers of engines and daemons, and the load of a fleet.
 
-    ``update_delay_seconds`` is how late daemons hear of one another's prompts: half a
-    send interval and a hop, and in a fleet with relays their collecting as well.
-    Arrivals come ``rate`` times as often as `KINDS` says.
+    ``update_delay_seconds`` is the delay with which daemons receive one another's
+    updates: half a send interval and a hop, and in a fleet with relays also the time
+    that relays collect updates. ``rate`` is a factor on the rates in `KINDS`.
     """
 
     engines: int
@@ -79,7 +80,11 @@
 
 
 class Result(NamedTuple):
-    """What became of one prompt; ``kind`` is the name of its kind."""
+    """The answer to one prompt as its caller received it; times are in seconds.
+
+    ``kind`` is the name of the prompt's kind, ``first_event`` the time from the arrival
+    to the first event and ``worth`` the weight of the prompt in the figures.
+    """
 
     kind: str
     prompt_tokens: int
@@ -90,13 +95,14 @@
 
 
 Place = Callable[[Demand, EndpointPool, float], Placement | None]
-# Made from what a daemon knows, its random numbers and the age of others' news.
+# Creates a daemon's strategy from its view of the load, its random numbers and the
+# delay of updates, in seconds.
 MakePlace = Callable[[FleetLoad, random.Random, float], Place]
 STRATEGIES: dict[str, MakePlace] = {}
 
 
 def register_strategy(name: str):
-    """Return a decorator that makes a strategy available under ``name``."""
+    """Return a decorator that registers a strategy in `STRATEGIES` under ``name``."""
 
     def register(make: MakePlace):
         STRATEGIES[name] = make
@@ -114,8 +120,10 @@
 
 
 @register_strategy("fewest requests")
-def _fewest(load: FleetLoad, rng: random.Random, update_delay_seconds: float) -> Place:
-    """Place each prompt whole at the engine with the fewest requests."""
+def _fewest_requests(
+    load: FleetLoad, rng: random.Random, update_delay_seconds: float
+) -> Place:
+    """Place each prompt as a whole on the engine with the fewest requests."""
 
     def place(demand: Demand, usable: EndpointPool, now: float) -> Placement:
         def cost(tracked: TrackedEndpoint) -> tuple[int, float]:
@@ -129,7 +137,7 @@
 
 
 class Experiment:
-    """One run: engines, daemons, arrivals and a strategy, from a seed.
+    """One run of a strategy with the engines, daemons and arrivals of a seed.
 
     >>> results = Experiment("priced", seed=1).run(seconds=30.0)
     """
@@ -154,7 +162,7 @@
         )
         self._service = Service("pool", 0.0, 0.0, profile)
         self._loads = [FleetLoad() for _ in range(fleet.daemons)]
-        self._places = [
+        self._place_functions = [
             STRATEGIES[strategy](
                 load, random.Random(seed + n), fleet.update_delay_seconds
             )
@@ -165,18 +173,21 @@
         self.results: list[Result] = []
 
     def run(self, seconds: float) -> list[Result]:
-        """Let prompts arrive for so long and return what became of them."""
+        """Let prompts arrive for ``seconds`` and return the results.
+
+        Prompts that have not ended `TAIL_SECONDS` later are left out.
+        """
         for at, prompt in self._arrivals(seconds):
-            self._at(at, lambda now, p=prompt: self._arrive(p, now))
+            self._schedule(at, lambda now, p=prompt: self._arrive(p, now))
         while self._events:
-            now, _, act = heapq.heappop(self._events)
+            now, _, callback = heapq.heappop(self._events)
             if now > seconds + TAIL_SECONDS:
                 break
-            act(now)
+            callback(now)
         return self.results
 
-    def _at(self, moment: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (moment, next(self._order), act))
+    def _schedule(self, moment: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (moment, next(self._order), callback))
 
     def _arrivals(self, seconds: float) -> Iterator[tuple[float, SimulatedPrompt]]:
         names = count()
@@ -195,9 +206,9 @@
 
     def _arrive(self, prompt: SimulatedPrompt, now: float) -> None:
         prompt.daemon = self._rng.randrange(len(self._loads))
-        self._try(prompt, now)
+        self._place_or_retry(prompt, now)
 
-    def _try(self, prompt: SimulatedPrompt, now: float) -> None:
+    def _place_or_retry(self, prompt: SimulatedPrompt, now: float) -> None:
         demand = Demand(
             request_id=prompt.name,
             service=self._service,
@@ -207,17 +218,19 @@
             gap_seconds=prompt.kind.gap_seconds,
             failure_domain="",
         )
-        placement = self._places[prompt.daemon](demand, self._usable, now)
+        placement = self._place_functions[prompt.daemon](demand, self._usable, now)
         if placement is None:
-            self._at(now + 0.02, lambda later: self._try(prompt, later))
+            self._schedule(
+                now + 0.02, lambda later: self._place_or_retry(prompt, later)
+            )
             return
-        self._put(prompt, placement.jobs, now)
+        self._update_jobs(prompt, placement.jobs, now)
         parts = [Part(placement.endpoint_id), *placement.helpers]
         prompt.parts_left = len(parts)
         tokens = prompt.size.prompt_tokens
         each = prefill_time(self._profile, tokens) / tokens
         for part in parts:
-            reading = Reading(
+            pending = PendingPrefill(
                 prompt,
                 tokens / len(parts),
                 each,
@@ -225,59 +238,66 @@
                 joint=len(parts) > 1,
             )
             engine = self._engines[part.endpoint_id]
-            engine.add(reading)
+            engine.add(pending)
             self._start(engine, now)
         prompt.home = self._engines[placement.endpoint_id]
 
-    def _put(self, prompt: SimulatedPrompt, jobs: Sequence[Job], now: float) -> None:
+    def _update_jobs(
+        self, prompt: SimulatedPrompt, jobs: Sequence[Job], now: float
+    ) -> None:
         own = self._loads[prompt.daemon]
         if jobs:
             own.put(prompt.name, jobs)
         else:
             own.drop(prompt.name)
         arrives = now + self._update_delay_seconds
-        self._at(arrives, lambda later: self._tell(prompt, jobs, later))
+        self._schedule(arrives, lambda later: self._deliver_jobs(prompt, jobs, later))
 
-    def _tell(self, prompt: SimulatedPrompt, jobs: Sequence[Job], now: float) -> None:
+    def _deliver_jobs(
+        self, prompt: SimulatedPrompt, jobs: Sequence[Job], now: float
+    ) -> None:
         for number, load in enumerate(self._loads):
             if number != prompt.daemon:
                 load.receive(prompt.name, jobs, now)
 
     def _start(self, engine: SimulatedEngine, now: float) -> None:
-        if not engine.busy and (engine.readings or engine.writers or engine.waiting):
+        if not engine.busy and (
+            engine.prefills or engine.decoding_prompts or engine.waiting
+        ):
             engine.busy = True
-            seconds, wrote, read = engine.run_pass()
-            self._at(
+            seconds, decoded, prefilled = engine.run_pass()
+            self._schedule(
                 now + seconds,
-                lambda later: self._end_pass(engine, wrote, read, later),
+                lambda later: self._end_pass(engine, decoded, prefilled, later),
             )
 
     def _end_pass(
         self,
         engine: SimulatedEngine,
-        wrote: list[SimulatedPrompt],
-        read: list[SimulatedPrompt],
+        decoded: list[SimulatedPrompt],
+        prefilled: list[SimulatedPrompt],
         now: float,
     ) -> None:
         engine.busy = False
-        for prompt in wrote:
-            self._event(prompt, now)
-        for prompt in read:
+        for prompt in decoded:
+            self._record_event(prompt, now)
+        for prompt in prefilled:
             prompt.parts_left -= 1
             if prompt.parts_left == 0:
                 home = prompt.home
-                # The pass that has read it has made an event of it only if it wrote.
-                is_written = home is engine and bool(wrote)
-                home.writers.append(prompt)
+                # The pass that completed the prefill has made an event of the answer
+                # only if it decoded, too.
+                is_written = home is engine and bool(decoded)
+                home.decoding_prompts.append(prompt)
                 jobs = self._loads[prompt.daemon].jobs_of(prompt.name)
                 decoding = [j._replace(decoding=True) for j in jobs if j.held_tokens]
-                self._put(prompt, decoding, now)
+                self._update_jobs(prompt, decoding, now)
                 if is_written:
-                    self._event(prompt, now)
+                    self._record_event(prompt, now)
                 self._start(home, now)
         self._start(engine, now)
 
-    def _event(self, prompt: SimulatedPrompt, now: float) -> None:
+    def _record_event(self, prompt: SimulatedPrompt, now: float) -> None:
         if prompt.first_at is None:
             prompt.first_at = now
         else:
@@ -285,8 +305,8 @@
         prompt.last_at = now
         prompt.events_left -= 1
         if prompt.events_left <= 0:
-            prompt.home.writers.remove(prompt)
-            self._put(prompt, (), now)
+            prompt.home.decoding_prompts.remove(prompt)
+            self._update_jobs(prompt, (), now)
             self.results.append(_result(prompt))
 
 
@@ -311,7 +331,10 @@
 
 
 def on_time_by_kind(results: Sequence[Result]) -> dict[str, float]:
-    """Return the share that was on time, by kind and weighed by worth in all."""
+    """Return the share of prompts on time, by kind.
+
+    The key ``worth`` has the share of all prompts, weighted by worth.
+    """
     by_kind: dict[str, list[Result]] = defaultdict(list)
     for result in results:
         by_kind[result.kind].append(result)
@@ -325,7 +348,7 @@
 
 
 def scaled(factors: dict[str, float]) -> tuple[Kind, ...]:
-    """Return the kinds with their rates multiplied by factors by name."""
+    """Return `KINDS` with each rate multiplied by the factor of its name, or by 1."""
     return tuple(
         kind._replace(per_second=kind.per_second * factors.get(kind.name, 1.0))
         for kind in KINDS
