--- a/cranberrywick/bench/relay.py
+++ b/cranberrywick/bench/relay.py
@@ -1,10 +1,10 @@
-"""Measure the relay of streams against direct calls, in one run.
+"""Compare streams through the relay with direct streams, in one run.
 
-Source, relay and caller are processes of their own. For each number of streams the
-table gives, in milliseconds, the delay of the first token and of every event (from
-the moment when it was due at the source to the moment when the caller had read
-it), direct, relayed and the difference; then the relay's processor time for each
-event and its memory for each stream.
+Source, relay and caller are separate processes. For each number of streams the table
+has, in milliseconds, the time to the first token and the delay of events (from the
+time when an event was due at the source to the time when the caller had read it),
+direct, relayed and the difference; then the relay's processor time for each event and
+its memory for each stream.
 
     python -m cranberrywick.bench.relay --streams 10,100,300
 """
@@ -27,13 +27,19 @@
 
 __all__ = ["main"]
 
+# Interval between the events of a stream, in seconds.
 EVENT_INTERVAL_SECONDS = 0.06
+# Units of /proc/PID/stat and /proc/PID/statm.
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class Run(NamedTuple):
-    """What the caller saw in one run; delays in milliseconds."""
+    """What the caller measured in one run.
+
+    ``first`` has the times to the first token and ``delays`` those of events, in
+    milliseconds; ``whole`` is the number of streams received to their end.
+    """
 
     first: list[float]
     delays: list[float]
@@ -41,7 +47,7 @@
 
 
 class Cost(NamedTuple):
-    """What the relay spent while every stream ran."""
+    """Processor time and memory of the relay while all streams were running."""
 
     cpu_ms_per_event: float
     kilobytes_per_stream: float
@@ -57,8 +63,9 @@
 ) -> None:
     """Print the table.
 
-    Modes are relay (the daemon's relay behind nothing but the HTTP front), daemon
-    (the whole daemon), plain (a thread for each stream) and plain-lookahead-0.
+    Modes are relay (the HTTP server and the daemon's relay alone), daemon (the whole
+    daemon), plain (a thread for each stream) and plain-lookahead-0 (as plain, without
+    the server reading ahead for a disconnect).
     """
     if context.invoked_subcommand:
         return
@@ -100,7 +107,7 @@
 
 
 class _Child:
-    """A process of this benchmark."""
+    """A process of this benchmark, started from this module's command line."""
 
     def __init__(self, *arguments: object):
         command = [sys.executable, "-m", "cranberrywick.bench.relay"]
--- a/cranberrywick/bench/relay_caller.py
+++ b/cranberrywick/bench/relay_caller.py
@@ -1,4 +1,4 @@
-"""The caller of the relay's benchmark: one thread that reads many streams."""
+"""The caller in the benchmark of the relay: one thread that reads many streams."""
 
 import json
 import re
@@ -20,12 +20,13 @@
         "messages": [{"role": "user", "content": "a short prompt"}],
     }
 ).encode()
-# Streams start this far apart, so that connecting is not what is measured.
+# Interval between the starts of streams, in seconds, which keeps connecting out of the
+# measurement.
 START_INTERVAL = 0.01
 
 
 class _Reader:
-    """One stream as the caller sees it; delays in seconds."""
+    """One stream of the caller; times are in seconds."""
 
     def __init__(self, address: str):
         host, port = address.rsplit(":", 1)
@@ -43,7 +44,10 @@
         self.whole = False
 
     def read(self, delays: list[tuple[float, float]]) -> bool:
-        """Read what is there; return False at the end."""
+        """Read available data; return False at the end of the stream.
+
+        Add the time when each event was due, and its delay, to ``delays``.
+        """
         try:
             data = self.sock.recv(65536)
         except ConnectionResetError:
@@ -51,7 +55,7 @@
         now = time.monotonic()
         if not data:
             return False
-        # An event cut by the end of the read counts with the next one.
+        # An event that is cut by the end of the data is counted after the next read.
         data = self.tail + data
         last = 0
         for match in _DUE.finditer(data):
@@ -69,7 +73,7 @@
 
 
 def call_streams(address: str, streams: int) -> None:
-    """Read ``streams`` streams to their end and print what was seen as JSON."""
+    """Read ``streams`` streams to their end and print the summary as JSON."""
     selector = selectors.DefaultSelector()
     delays: list[tuple[float, float]] = []
     readers: list[_Reader] = []
@@ -95,7 +99,7 @@
 
 
 def _summary(readers: list[_Reader], delays: list[tuple[float, float]]) -> dict:
-    """Summarise; event delays only from when every stream had started."""
+    """Return the summary; event delays are those after all streams had started."""
     steady = max(reader.started for reader in readers) + 0.5
     return {
         "first": [r.first_event for r in readers if r.first_event is not None],
--- a/cranberrywick/bench/relay_daemon.py
+++ b/cranberrywick/bench/relay_daemon.py
@@ -1,4 +1,4 @@
-"""The relay of the benchmark: waitress in front, the daemon's own relay behind."""
+"""The relay process of the benchmark: waitress and the daemon's relay alone."""
 
 import itertools
 from collections.abc import Callable, Iterable
@@ -9,11 +9,16 @@
 
 __all__ = ["serve_relay"]
 
+# Time left for a call to the source, in seconds.
 REMAINING_SECONDS = 600.0
 
 
 class _Application:
-    """Passes every request on to the source; ``mode`` names how."""
+    """Forwards every request to the source.
+
+    In ``mode`` "relay" the daemon's relay forwards the answer, in any other the thread
+    of the request.
+    """
 
     def __init__(self, source: str, mode: str):
         self.source = source
@@ -38,7 +43,7 @@
         answer = send(self.source, call)
         write = start_response("200 OK", [("Content-Type", "text/event-stream")])
         if not self.pump:
-            return _pass_on(answer)
+            return _forward(answer)
         try:
             connected = environ["waitress.client_disconnected"]
             self.relay.pump(answer, write, connected)
@@ -47,8 +52,8 @@
         return []
 
 
-def _pass_on(answer: Answer) -> Iterable[bytes]:
-    """The plainest relay: the request's own thread reads and writes."""
+def _forward(answer: Answer) -> Iterable[bytes]:
+    """Yield the answer's chunks, which the request's own thread reads and writes."""
     try:
         yield from answer.chunks()
     finally:
@@ -56,7 +61,7 @@
 
 
 def serve_relay(source: str, mode: str) -> None:
-    """Serve a relay to ``source`` for ever."""
+    """Serve a relay to ``source`` until the process ends."""
     settings = {"threads": 1050, "connection_limit": 4000}
     if mode == "plain-lookahead-0":
         settings["channel_request_lookahead"] = 0
--- a/cranberrywick/bench/relay_product.py
+++ b/cranberrywick/bench/relay_product.py
@@ -1,4 +1,4 @@
-"""The whole daemon as the benchmark's relay, with stand-ins for the platform."""
+"""The whole daemon as the relay of the benchmark, with a stand-in platform."""
 
 import json
 import threading
@@ -16,17 +16,19 @@
 
 __all__ = ["serve_daemon"]
 
-# The source takes any number of streams; the daemon must not hold them back.
+# Declared slots of the source, which serves any number of streams: so many that the
+# daemon never queues one.
 SOURCE_SLOTS = 4000
 THREADS = 1050
+# Time from readiness to the start of the measurement, in seconds.
 SETTLE_SECONDS = 5.0
 
 
 def serve_daemon(source: str) -> None:
-    """Serve a daemon whose one engine is the source, for ever.
+    """Serve a daemon whose only engine is the source, until the process ends.
 
-    The stand-ins of the platform are in this process too; with one daemon they are
-    asked a few times a second.
+    The stand-ins of the platform are in the same process. One daemon calls them a few
+    times a second, so that they add little to its cost.
     """
     key_value = start_key_value()
     _store_configuration(key_value)
@@ -58,8 +60,8 @@
     daemon.start()
     while urllib3.request("GET", f"http://{daemon.address}/readyz").status != 200:
         threading.Event().wait(0.1)
-    # A daemon answers "ready" before its first load report, and until then sends
-    # what a cold endpoint bears; that start is not what is measured here.
+    # A daemon is ready before its first load report, and until that report sends an
+    # endpoint only as much as a cold one can run. That phase is not to be measured.
     threading.Event().wait(SETTLE_SECONDS)
     print(f"ready {daemon.address}", flush=True)
     threading.Event().wait()
--- a/cranberrywick/bench/relay_source.py
+++ b/cranberrywick/bench/relay_source.py
@@ -1,8 +1,8 @@
-"""The source of the relay's benchmark: one thread that serves timed streams.
+"""The source in the benchmark of the relay: one thread that serves timed streams.
 
-It stands for an engine. Each event carries the moment when it was due, on the
-machine's monotonic clock, which all processes share; the delay that the caller
-sees includes the source's own lateness, in the direct run and in the relayed one.
+It takes the place of an engine. Each event carries the time when it was due, on the
+machine's monotonic clock, which all processes share. The delay that the caller
+measures includes that of the source itself, in the direct run and in the relayed one.
 """
 
 import heapq
@@ -22,7 +22,7 @@
     "X-Request-Id: {request_id}\r\nX-Attempt: {attempt}\r\n\r\n"
 )
 
-# What a daemon asks of an engine beside the streams.
+# The answer to the load requests that a daemon sends to an engine.
 _LOAD_BODY = json.dumps(
     {"incarnation": 1, "phase": "warm", "models": ["bench"], "age_seconds": 0.0}
 ).encode()
@@ -33,7 +33,7 @@
 
 
 class _Stream:
-    """One stream: its next event's number and due time."""
+    """One stream; ``number`` is that of its next event."""
 
     def __init__(self, sock: socket.socket, head: bytes):
         request_id = _REQUEST_ID.search(head)
@@ -64,7 +64,10 @@
 
 
 def serve_source(events: int, interval: float) -> None:
-    """Serve streams of ``events`` events, one each ``interval`` seconds, for ever."""
+    """Serve streams of ``events`` events, one every ``interval`` seconds.
+
+    Runs until the process ends.
+    """
     listener = socket.create_server(("127.0.0.1", 0), backlog=2048)
     listener.setblocking(False)
     selector = selectors.DefaultSelector()
--- a/cranberrywick/bench/request_path.py
+++ b/cranberrywick/bench/request_path.py
@@ -1,10 +1,10 @@
-"""What a request and a change of an endpoint cost a daemon, by size of the fleet.
+"""Measure what a request and an endpoint's change cost a daemon, by size of the fleet.
 
     python -m cranberrywick.bench.request_path
 
-prints milliseconds of processor time: a placement of each kind of prompt and of a plain
-call, one endpoint's change told by a peer, all endpoints taken at a start, and the log
-line of a request. Nothing here uses a network.
+prints milliseconds of processor time for placing each kind of prompt and a plain call,
+for one endpoint's change received from a peer, for all endpoints received at a start
+and for the log line of a request. Nothing here uses a network.
 """
 
 import io
@@ -37,14 +37,15 @@
 ENGINES = Service("engines", 0.0, 0.0, PROFILE)
 CALLS = Service("calls", 0.0, 0.0, None)
 DOMAINS = ("fd-a", "fd-b", "fd-c")
-# A plain service has so many endpoints for one engine.
+# Number of endpoints of the plain service for each engine.
 CALL_ENDPOINTS_PER_ENGINE = 0.08
 JOBS_PER_ENGINE = 2.5
+# Time of the measurement on the daemons' clocks, in seconds.
 NOW = 100.0
 
 
 class Fleet(NamedTuple):
-    """How many daemons and engines there are."""
+    """Numbers of daemons and engines."""
 
     daemons: int
     engines: int
@@ -67,7 +68,7 @@
 
 
 def _load(fleet: Fleet, rng: random.Random) -> FleetLoad:
-    """Return a usual load: mostly short answers, of all daemons."""
+    """Return a load of jobs of all daemons, most of them for short prompts."""
     load = FleetLoad()
     per_daemon = max(1, round(JOBS_PER_ENGINE * fleet.engines / fleet.daemons))
     for daemon in range(fleet.daemons):
@@ -85,15 +86,18 @@
     return load
 
 
-def _milliseconds(act: Callable[[], object], times: int) -> float:
+def _mean_milliseconds(callback: Callable[[], object], times: int) -> float:
     started = process_time()
     for _ in range(times):
-        act()
+        callback()
     return (process_time() - started) / times * 1000
 
 
 def measure(fleet: Fleet, times: int) -> dict[str, float]:
-    """Return milliseconds by activity."""
+    """Return milliseconds of processor time by activity, the mean of ``times`` runs.
+
+    The endpoints of a start are applied once.
+    """
     rng = random.Random(1)
     view = _view(fleet)
     tracker = EndpointTracker(EventLog())
@@ -101,7 +105,7 @@
     whole = EndpointTracker(EventLog())
     whole.apply_store_snapshot(view, NOW - 2.0, NOW - 2.0)
     snapshot = whole.full_snapshot(NOW - 1.0)
-    figures["all endpoints at a start"] = _milliseconds(
+    figures["all endpoints at a start"] = _mean_milliseconds(
         lambda: tracker.apply_peer_snapshot(snapshot, NOW - 1.0), 1
     )
     placer = Placer(
@@ -122,11 +126,11 @@
 
     for kind in KINDS:
         size = PromptSize(int(kind.prompt_tokens), 500)
-        figures[f"placement, {kind.name}"] = _milliseconds(
+        figures[f"placement, {kind.name}"] = _mean_milliseconds(
             lambda size=size, kind=kind: place(ENGINES, size, kind.target_seconds),
             times,
         )
-    figures["placement, plain call"] = _milliseconds(
+    figures["placement, plain call"] = _mean_milliseconds(
         lambda: place(CALLS, None, 0.3), times
     )
     figures["one endpoint's change"] = _changes(tracker, view, times)
@@ -135,9 +139,12 @@
 
 
 def _changes(tracker: EndpointTracker, view: EndpointView, times: int) -> float:
-    """Let a peer tell of one endpoint after the other that it is leaving."""
-    teller = EndpointTracker(EventLog())
-    teller.apply_store_snapshot(view, NOW - 1.0, NOW - 1.0)
+    """Return milliseconds to apply a peer's snapshot in which one endpoint changed.
+
+    The endpoints start or end draining in turn.
+    """
+    sender = EndpointTracker(EventLog())
+    sender.apply_store_snapshot(view, NOW - 1.0, NOW - 1.0)
     snapshots = []
     for number in range(times):
         name = f"e{number % 18}"
@@ -145,15 +152,17 @@
         record = view.records_by_id[name]._replace(draining=draining)
         view = view.with_delta(EndpointDelta((record,), ()), view.revision + 1)
         at = NOW + number * 0.1
-        snapshots.append((teller.apply_store_snapshot(view, at, at).snapshot, at))
+        snapshots.append((sender.apply_store_snapshot(view, at, at).snapshot, at))
     pending = iter(snapshots)
-    return _milliseconds(lambda: tracker.apply_peer_snapshot(*next(pending)), times)
+    return _mean_milliseconds(
+        lambda: tracker.apply_peer_snapshot(*next(pending)), times
+    )
 
 
 def _log_line(times: int) -> float:
     log = EventLog(daemon="d1")
     with make_handler("info", io.StringIO()).applicationbound():
-        return _milliseconds(
+        return _mean_milliseconds(
             lambda: log.info(
                 "request_ended",
                 request_id="9a5bb11edc41e672",
@@ -173,7 +182,7 @@
 @click.command()
 @click.option("--times", default=200, show_default=True)
 def main(times: int) -> None:
-    """Print milliseconds of processor time by activity and size."""
+    """Print milliseconds of processor time by activity and size of the fleet."""
     by_fleet = {fleet: measure(fleet, times) for fleet in FLEETS}
     sizes = [f"{fleet.daemons}/{fleet.engines}" for fleet in FLEETS]
     click.echo(f"{'daemons/engines':<28}" + "".join(f"{size:>10}" for size in sizes))
