--- a/cranberrywick/bench/run.py
+++ b/cranberrywick/bench/run.py
@@ -1,4 +1,4 @@
-"""One run of a strategy before the fake fleet, and what its callers received."""
+"""One run of a strategy with simulated engines, and what its callers received."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -21,19 +21,21 @@
 
 __all__ = ["Received", "Run", "Sent"]
 
-# One way between daemon and engine: inside one town.
+# One-way delay between a daemon and an engine in the same town, in seconds.
 NETWORK_SECONDS = 0.0005
+# Interval of the load reports of an engine, and their delay, in seconds.
 REPORT_EVERY_SECONDS = 1.0
 REPORT_LAG_SECONDS = 1.0
-# Runs go on past the last arrival until everything has ended.
+# Time after the last arrival during which engines still report, in seconds; every
+# request has ended by then.
 REPORTS_AFTER_LAST_ARRIVAL_SECONDS = 500.0
 
 
 class Received(NamedTuple):
-    """What one caller received; times count from its arrival.
+    """What one caller received; times are in seconds after its arrival.
 
-    ``outcome`` is ``finished``, ``refused`` (at arrival or later, never run),
-    ``failed`` (an attempt broke) or ``missed`` (its class's time passed).
+    ``outcome`` is ``finished``, ``refused`` (on arrival or later; not run), ``failed``
+    (an attempt failed) or ``missed`` (the deadline of its class passed).
     """
 
     work: Work
@@ -45,7 +47,7 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the whole answer came, and promptly enough for its class."""
+        """Whether the answer finished and its first token met the class's target."""
         prompt = self.work.first_token_deadline - self.work.arrival
         return (
             self.outcome == "finished"
@@ -55,15 +57,15 @@
 
 
 class Sent(NamedTuple):
-    """One attempt that the strategy ordered."""
+    """One attempt that the strategy sent."""
 
     time: float
     work_id: str
     endpoint_id: str
 
 
-class _Open:
-    """A request whose caller still waits."""
+class _OpenRequest:
+    """A request whose caller is still waiting."""
 
     def __init__(self, arrival: Arrival):
         self.work = arrival.work
@@ -75,9 +77,9 @@
 
 
 class Run:
-    """Feed arrivals to a strategy, carry out its actions, note what is received.
+    """Offers arrivals to a strategy, executes its actions and records the results.
 
-    ``faults`` are ``(time, callable)`` pairs; the callable gets this run.
+    ``faults`` are pairs of a time and a function that is called then with this run.
     """
 
     def __init__(
@@ -96,13 +98,13 @@
         }
         self.received: list[Received] = []
         self.sends: list[Sent] = []
-        self._open_by_id: dict[str, _Open] = {}
+        self._open_by_id: dict[str, _OpenRequest] = {}
         self._arrivals = list(arrivals)
         self._faults = list(faults)
         self._wake_at: float | None = None
 
     def start(self) -> list[Received]:
-        """Run to the end and return what each caller received."""
+        """Run until no event is left and return what each caller received."""
         self.strategy.set_targets(TARGETS_BY_CLASS)
         self.strategy.set_endpoints(self.endpoints_by_id, 0.0)
         for arrival in self._arrivals:
@@ -118,15 +120,15 @@
         self._poll()
 
     def set_slowdown(self, endpoint_id: str, slowdown: float) -> None:
-        """Change an engine's speed; nobody is told."""
+        """Make an engine take ``slowdown`` times as long, without informing anyone."""
         self.engines_by_id[endpoint_id].set_slowdown(slowdown)
 
     def set_domains_out(self, domains: frozenset[str]) -> None:
-        """Carry an operator's order to the strategy."""
+        """Pass an operator's order to the strategy: take these domains out."""
         self.strategy.set_domains_out(domains, self.clock.now)
 
     def endpoints_in(self, domain: str) -> list[str]:
-        """Return the endpoints of one failure domain."""
+        """Return the ids of the endpoints in a failure domain."""
         return [
             endpoint_id
             for endpoint_id, endpoint in self.endpoints_by_id.items()
@@ -134,17 +136,17 @@
         ]
 
     def kill(self, endpoint_ids: Iterable[str]) -> None:
-        """Let engines die with all that they hold."""
+        """Stop engines, which lose all requests and memory."""
         for endpoint_id in endpoint_ids:
             self.engines_by_id[endpoint_id].die()
 
     def restart(self, endpoint_ids: Iterable[str]) -> None:
-        """Let dead engines start again, cold."""
+        """Start dead engines again, cold."""
         for endpoint_id in endpoint_ids:
             self.engines_by_id[endpoint_id].start()
 
     def not_idempotent_run_twice(self) -> int:
-        """Return how many calls that may not be repeated ran more than once."""
+        """Return the number of calls that ran twice without being idempotent."""
         runs = Counter(
             work_id
             for engine in self.engines_by_id.values()
@@ -174,7 +176,7 @@
         self._poll()
 
     def _arrive(self, arrival: Arrival) -> None:
-        opened = _Open(arrival)
+        opened = _OpenRequest(arrival)
         self._open_by_id[arrival.work.work_id] = opened
         answer = self.strategy.offer(arrival.work, self.clock.now)
         if isinstance(answer, Refused):
@@ -195,7 +197,7 @@
         self._close(opened, "missed")
         self._poll()
 
-    def _close(self, opened: _Open, outcome: str) -> None:
+    def _close(self, opened: _OpenRequest, outcome: str) -> None:
         del self._open_by_id[opened.work.work_id]
         arrival = opened.work.arrival
         first = opened.first_token_at
@@ -236,15 +238,19 @@
         attempt = opened.attempt
         self.sends.append(Sent(self.clock.now, action.work_id, endpoint_id))
         listener = Listener(
-            first_token=lambda: self._later(self._first_token, opened, attempt),
-            ended=lambda result: self._later(self._ended, opened, attempt, result),
+            first_token=lambda: self._after_network_delay(
+                self._first_token, opened, attempt
+            ),
+            ended=lambda result: self._after_network_delay(
+                self._ended, opened, attempt, result
+            ),
         )
         opened.gang = action.endpoint_ids[1:]
         self.clock.after(
             NETWORK_SECONDS, lambda: self._submit(opened, action, listener)
         )
 
-    def _submit(self, opened: _Open, action: Send, listener: Listener) -> None:
+    def _submit(self, opened: _OpenRequest, action: Send, listener: Listener) -> None:
         engine = self.engines_by_id[action.endpoint_ids[0]]
         leader_tokens = None
         if opened.gang:
@@ -257,8 +263,11 @@
                 return
         engine.submit(opened.work, opened.output_tokens, listener, leader_tokens)
 
-    def _hold_gang(self, opened: _Open, action: Send) -> int | None:
-        """Take the helpers' memory, all or nothing; return the leader's part."""
+    def _hold_gang(self, opened: _OpenRequest, action: Send) -> int | None:
+        """Reserve the helpers' memory and return the leader's part, in tokens.
+
+        Return None, with nothing reserved, when an engine has too little free memory.
+        """
         engines = [self.engines_by_id[name] for name in action.endpoint_ids]
         parts = list(zip(engines, action.gang_tokens, strict=True))
         if any(engine.cache_free < tokens for engine, tokens in parts):
@@ -268,18 +277,20 @@
             engine.hold(opened.work.work_id, tokens)
         return action.gang_tokens[0]
 
-    def _release_gang(self, opened: _Open) -> None:
+    def _release_gang(self, opened: _OpenRequest) -> None:
         for endpoint_id in opened.gang:
             self.engines_by_id[endpoint_id].release(opened.work.work_id)
         opened.gang = ()
 
-    def _later(self, callback: Callable[..., None], *arguments: object) -> None:
+    def _after_network_delay(
+        self, callback: Callable[..., None], *arguments: object
+    ) -> None:
         self.clock.after(NETWORK_SECONDS, lambda: callback(*arguments))
 
-    def _current(self, opened: _Open, attempt: int) -> bool:
+    def _current(self, opened: _OpenRequest, attempt: int) -> bool:
         return opened.work.work_id in self._open_by_id and opened.attempt == attempt
 
-    def _first_token(self, opened: _Open, attempt: int) -> None:
+    def _first_token(self, opened: _OpenRequest, attempt: int) -> None:
         if not self._current(opened, attempt):
             return
         if opened.first_token_at is None:
@@ -287,7 +298,7 @@
         self.strategy.first_token(opened.work.work_id, self.clock.now)
         self._poll()
 
-    def _ended(self, opened: _Open, attempt: int, result: SendResult) -> None:
+    def _ended(self, opened: _OpenRequest, attempt: int, result: SendResult) -> None:
         if not self._current(opened, attempt):
             return
         work_id = opened.work.work_id
--- a/cranberrywick/bench/scenarios.py
+++ b/cranberrywick/bench/scenarios.py
@@ -1,7 +1,8 @@
-"""The scenarios, each a function in a registry that returns one row of figures.
+"""Scenarios of the scheduling benchmark: functions that return a row of figures.
 
-A scenario runs one strategy with one seed; the arrivals depend on the seed alone,
-so that all strategies see the same. Figures are of what callers receive.
+A scenario runs one strategy with one seed. Arrivals depend on the seed alone, so that
+all strategies get the same ones. Figures are measured at the callers. A scenario's
+doc comment is the title of its table.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,7 +25,7 @@
 Scenario = Callable[[str, int], Row]
 SCENARIOS: dict[str, Scenario] = {}
 
-# Of all other figures a lower one is better.
+# Figures of which a higher value is better; of all others a lower one is.
 HIGHER_IS_BETTER = frozenset(
     {
         "useful engine time",
@@ -47,7 +48,7 @@
 
 
 def scenario(name: str) -> Callable[[Scenario], Scenario]:
-    """Return a decorator that makes a scenario available under ``name``."""
+    """Return a decorator that registers a scenario in `SCENARIOS` under ``name``."""
 
     def register(function: Scenario) -> Scenario:
         SCENARIOS[name] = function
@@ -57,7 +58,10 @@
 
 
 def percentile(values: Iterable[float], share: float) -> float:
-    """Return the least value that ``share`` of all do not exceed."""
+    """Return the smallest value that ``share`` (0 to 1) of the values do not exceed.
+
+    Without values, return NaN.
+    """
     ordered = sorted(values)
     if not ordered:
         return float("nan")
@@ -98,7 +102,10 @@
 def _short_p95(
     received: Iterable[Received], since: float, until: float = float("inf")
 ) -> float:
-    """Return the first-token time of short prompts that 95 in 100 do not exceed."""
+    """Return the 95th percentile of the time to the first token of short prompts.
+
+    It is in seconds, over the prompts that arrived from ``since`` until ``until``.
+    """
     return percentile(
         (
             one.first_token_seconds
@@ -125,7 +132,7 @@
 
 
 def _useful_share(run: Run, since: float, until: float) -> float:
-    """Return the part of all engine time that went to answers in time."""
+    """Return the share of engine time spent on prefill for answers in time."""
     in_time = {one.work.work_id for one in run.received if one.in_time}
     useful = sum(
         max(0.0, min(until, prefill.ended_at) - max(since, prefill.began_at))
@@ -139,7 +146,7 @@
 def _slowdown(strategy: str, seed: int, load: float) -> Row:
     found = _mix(seed, load, 360.0)
     shorts = [a for a in found if a.work.prompt_tokens <= SHORT_PROMPT_TOKENS]
-    # Every strategy is held to the quickest service of short prompts alone.
+    # All strategies are compared with the best result for short prompts alone.
     alone = min(
         _short_p95(_run(name, seed, shorts).received, WARM_UP_SECONDS)
         for name in ("least-outstanding", "cranberrywick")
