--- a/scripts/build_binary.py
+++ b/scripts/build_binary.py
@@ -1,10 +1,11 @@
-"""Build the one-file program from what is installed, without a network.
+"""Build the program as one file from installed packages, without a network.
 
     python scripts/build_binary.py --output dist/cranberrywick
 
-The file holds this tree's package and, as installed from the lock file, just the
-libraries that it needs at run time. Modules are compiled here: the libraries' own
-start would otherwise write compiled files on every VM, or compile at every start.
+The file contains the package of this tree and the libraries that it needs at run time,
+in the versions installed from the lock file. Modules are compiled here; otherwise every
+VM would compile them at the first start and write the results, or, where it can't write
+them, compile at every start.
 """
 
 import argparse
@@ -21,14 +22,16 @@
 PACKAGE = "cranberrywick"
 ENTRY_POINT = "cranberrywick.cli.main:main"
 ROOT = Path(__file__).resolve().parent.parent
-# Data files that the program reads; a build without them fails at run time only.
+# Data files that the program reads. A build that lacks them fails only at run time, so
+# the build checks for them.
 DATA_PATTERNS = ("*.capnp", "*.json", "*.html")
-# Sources that libraries ship for building on them; pycapnp's are 7 MB.
+# Suffixes of source files that libraries ship for building other libraries against
+# them, and that are left out; those of pycapnp are 7 MB.
 BUILD_SUFFIXES = frozenset({".c", ".cpp", ".h", ".pxd", ".pyi", ".pyx"})
 
 
 def main() -> None:
-    """Build the file and check that the program's data is in it."""
+    """Build the file and check that it contains the data files."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--output", type=Path, default=ROOT / "dist" / PACKAGE)
     output = parser.parse_args().output
@@ -37,8 +40,8 @@
     for name in sorted(runtime_distributions()):
         copy_distribution(distribution(name), site)
     copy_package(site)
-    # Unchecked: the source never changes once it is in the file, and the check
-    # compares times that unpacking changes.
+    # Python must not check compiled files against their sources: a source in the file
+    # never changes, and the default check compares times, which unpacking changes.
     compileall.compile_dir(
         site, quiet=2, invalidation_mode=PycInvalidationMode.UNCHECKED_HASH
     )
@@ -47,7 +50,10 @@
 
 
 def runtime_distributions() -> set[str]:
-    """Return the names of what the program needs, without the development extra."""
+    """Return the names of all libraries that the program needs at run time.
+
+    Those of the extra ``dev`` are left out.
+    """
     names: set[str] = set()
     waiting = [PACKAGE]
     while waiting:
@@ -60,7 +66,10 @@
 
 
 def required_name(requirement: str) -> str | None:
-    """Return the name in a requirement, None for one of another platform or extra.
+    """Return the name in a requirement, or None if it does not apply.
+
+    That is the case for an extra, or for a platform's marker when the library is not
+    installed.
 
     >>> required_name("click>=8.1")
     'click'
@@ -74,7 +83,7 @@
 
 
 def is_installed(name: str) -> bool:
-    """Return whether a requirement with a platform's marker is here at all."""
+    """Return whether a library is installed."""
     return any(Distribution.discover(name=name))
 
 
@@ -88,14 +97,18 @@
 
 
 def belongs_in_site(file: PackagePath) -> bool:
-    """Return whether an installed file is needed: no script, no compiled module."""
+    """Return whether an installed file belongs in the program.
+
+    Scripts (outside of the library's folder), compiled modules and files with a suffix
+    in `BUILD_SUFFIXES` do not.
+    """
     if ".." in file.parts or "__pycache__" in file.parts:
         return False
     return file.suffix not in BUILD_SUFFIXES
 
 
 def copy_package(site: Path) -> None:
-    """Copy this tree's package, and check that its data files came along."""
+    """Copy the package of this tree and check that data files are in the copy."""
     ignore = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / PACKAGE, site / PACKAGE, ignore=ignore)
     data = {
@@ -109,7 +122,7 @@
 
 
 def pack(site: Path, output: Path) -> None:
-    """Make the file, and tell its size and what it takes once unpacked."""
+    """Create the file; print its size and that of the unpacked files."""
     shiv(
         [
             *("--site-packages", str(site)),
