--- a/cranberrywick/bench/run.py
+++ b/cranberrywick/bench/run.py
@@ -220,7 +220,9 @@
                 self._close(self._open_by_id[action.work_id], "refused")
         wake = self.strategy.next_wake(self.clock.now)
         if wake is not None and wake <= self.clock.now:
-            raise RuntimeError("a strategy that wakes at once would never end")
+            raise RuntimeError(
+                "strategy asks to be polled again at the present time, without end"
+            )
         if wake is not None and wake != self._wake_at:
             self._wake_at = wake
             self.clock.at(wake, lambda: self._wake(wake))
--- a/tests/test_decisions_bench.py
+++ b/tests/test_decisions_bench.py
@@ -1,4 +1,4 @@
-"""The bench itself: the same seed gives the same run, and nothing is left behind."""
+"""The scheduling benchmark: runs are reproducible and leave no state in engines."""
 
 from cranberrywick.bench.arrivals import arrivals, endpoints
 from cranberrywick.bench.run import Run
@@ -22,9 +22,11 @@
 
 
 def test_every_caller_gets_one_answer_and_no_engine_keeps_memory():
-    """Six engines take prompts up to a million tokens, some by gangs, and one engine
-    dies with what it holds and comes back. Each request ends once, in time or with
-    its failure, and at the end all memory is free again."""
+    """Each request ends exactly once and by its deadline, and all memory is free then.
+
+    Six engines serve prompts of up to a million tokens, some of them joint prompts, and
+    one engine dies with its requests and restarts.
+    """
     faults = [
         (20.0, lambda run: run.kill(["engine-001"])),
         (40.0, lambda run: run.restart(["engine-001"])),
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -1,13 +1,14 @@
-"""Placement in deployments that nobody has seen, drawn at random."""
+"""Placement in deployments drawn at random, for which nothing was tuned."""
 
 from cranberrywick.bench.drawn_deployments import draw_deployment, worth_on_time
 
 
 def test_most_is_on_time_in_deployments_drawn_at_random():
-    """Callers are served in time whatever engines, sizes and limits they meet.
+    """Most prompts are on time for any engines, sizes and limits.
 
-    Prices that were found on one engine would put long prompts onto short answers
-    where passes are longer or limits closer. The users' aim for their own is 0.8.
+    Guards against prices that suit one engine only: where passes are longer or limits
+    tighter, they would send long prompts to engines that decode short answers. The
+    bound, 0.8, is the users' target for their own deployment.
     """
     shares = [worth_on_time(seed, 8.0) for seed in range(12)]
     assert sum(shares) / len(shares) > 0.8
--- a/tests/test_engine_standin.py
+++ b/tests/test_engine_standin.py
@@ -1,4 +1,4 @@
-"""The engine stand-in keeps the promises that other tests build on."""
+"""Behaviour of the engine stand-in that other tests rely on."""
 
 import threading
 
@@ -18,11 +18,11 @@
 
 
 def slow_core(**settings):
-    """Return an engine whose prefills outlast the test."""
+    """Return an engine whose prefills last longer than the test."""
     return EngineCore(EngineSettings(prefill_tokens_per_second=0.01, **settings))
 
 
-def test_cold_engine_falls_over_at_one_request_too_many():
+def test_cold_engine_restarts_at_one_request_too_many():
     core = slow_core(cold=True, cold_slots=2)
     first = core.begin(prompt("r1"))
     core.begin(prompt("r2"))
@@ -59,7 +59,7 @@
     assert core.memory_used == 0
 
 
-def test_urgent_prompt_is_read_before_others_that_wait():
+def test_urgent_prompt_is_prefilled_before_others_that_wait():
     core = EngineCore(EngineSettings(prefill_tokens_per_second=100.0))
     core.begin(prompt("reading", tokens=10))
     patient = core.begin(prompt("patient", tokens=10, priority=5))
@@ -98,7 +98,7 @@
     assert report["age_seconds"] == 60.0
 
 
-def test_cache_events_have_gaps_when_told_to():
+def test_cache_events_have_gaps_on_demand():
     cache = PrefixCache(capacity_tokens=2 * PREFIX_BLOCK_TOKENS)
     cache.add(("a",))
     cache.events_to_lose = 1
@@ -108,7 +108,7 @@
     assert cache.keys == ["b", "c"]
 
 
-def test_cached_prefix_is_not_read_again():
+def test_cached_prefix_is_not_prefilled_again():
     core = EngineCore(EngineSettings(prefill_tokens_per_second=1e6))
     first = core.begin(prompt("r1", tokens=3000, keys=("a", "b")))
     second = core.begin(prompt("r2", tokens=3000, keys=("a", "b")))
--- a/tests/test_prompts_bench.py
+++ b/tests/test_prompts_bench.py
@@ -1,7 +1,7 @@
-"""The placement of prompts, judged by what callers receive in the experiment.
+"""Placement of prompts, measured by what callers receive in a simulation.
 
-Each load names its pattern in `cranberrywick.routing.placement`. The bounds are some
-hundredths under what three seeds gave.
+The loads are `SCENARIOS`; `cranberrywick.routing.placement` describes the patterns
+that they test. The bounds are some hundredths below the results of three seeds.
 """
 
 import pytest
@@ -28,22 +28,23 @@
     ("scenario", "least"), [("usual", 0.90), ("many long", 0.80), ("many short", 0.95)]
 )
 def test_most_of_the_worth_is_on_time(scenario, least):
-    """Callers of short and long prompts have their first event and pauses in time.
+    """First events and pauses of short and long prompts are on time.
 
-    Long prompts come among short ones, in bursts of either, to sixteen engines
-    through nine daemons that hear of one another's jobs with a delay. Over three
-    seeds: in one of them a prompt of 616,000 tokens, a tenth of the worth, needs all
-    engines for its whole target.
+    Guards against a placement that serves one length at the expense of the other. Nine
+    daemons, which receive one another's updates with a delay, send long prompts among
+    short ones, and bursts of either, to sixteen engines. Three seeds, because in one of
+    them a prompt of 616,000 tokens, a tenth of the worth, needs all engines for its
+    whole target.
     """
     priced = on_time("priced", scenario, seeds=(1, 2, 3))
     assert priced["worth"] > least
 
 
-def test_short_prompts_keep_their_time_beside_many_long_ones():
-    """Callers of short prompts see no pause though long prompts come in a burst.
+def test_short_prompts_are_on_time_among_many_long_ones():
+    """A burst of long prompts causes no long pauses in answers to short ones.
 
-    Sent to the engine with the fewest requests, a long prompt stops all that is
-    written there for seconds.
+    A long prompt that is sent to the engine with the fewest requests stops decoding
+    there for seconds.
     """
     priced = on_time("priced", "many long")
     fewest = on_time("fewest requests", "many long")
@@ -56,16 +57,17 @@
     ("scenario", "least"), [("usual", 0.95), ("many short", 0.93), ("many long", 0.9)]
 )
 def test_daemons_that_hear_late_of_one_another_do_not_meet(scenario, least):
-    """Callers of short prompts in a burst are answered in time by a large fleet.
+    """A large fleet answers bursts of short prompts on time.
 
-    79 daemons hear of one another's prompts 65 ms late, in which seven more are
-    placed. Each sent its own to the engine that looked best to all of them, and what
-    was too much there waited a second and more for a place.
+    79 daemons receive one another's updates after 65 ms, in which the fleet places
+    seven more prompts. Guards against the fault that each daemon sent its prompt to the
+    engine that looked best to all of them; prompts that found no slot there waited a
+    second or more.
     """
     assert on_time("priced", scenario, seconds=8.0, fleet="large")["worth"] > least
 
 
-def test_experiments_repeat():
+def test_same_seed_gives_the_same_results():
     assert on_time("priced", "usual", seconds=5) == on_time(
         "priced", "usual", seconds=5
     )
--- a/tests/test_standin_server.py
+++ b/tests/test_standin_server.py
@@ -1,4 +1,4 @@
-"""Stand-ins stop in any order of their threads."""
+"""A stand-in stops without errors, whatever the timing of its threads."""
 
 import time
 
@@ -10,12 +10,16 @@
         return Answer(200, b"", ())
 
     def stopping(self):
-        # Longer than the server's loop sleeps.
+        # Longer than one poll of the server's loop, which lasts 1 second.
         time.sleep(1.3)
 
 
-def test_a_loop_that_wakes_while_its_stand_in_stops_is_not_closed_too_early():
-    """Guards against a stop that fails since the server's loop has ended already."""
+def test_loop_that_wakes_during_stop_is_not_closed_too_early():
+    """Guards against a stop that fails because the server's loop has ended already.
+
+    That happened when the loop's poll ended by itself while `StandIn.stopping` was
+    still running: the loop closed its trigger before the stop used it.
+    """
     running = RunningStandIn(SlowToStop(), "127.0.0.1:0", threads=1)
     running.stop()
     running.stop()
