--- a/cranberrywick/bench/arrivals.py
+++ b/cranberrywick/bench/arrivals.py
@@ -33,8 +33,8 @@
 SHORT_PROMPT_TOKENS = 8_000
 PREFILL_TOKENS_PER_SECOND = 40_000.0
 CACHE_TOKENS = 450_000
-# Streams at once of an engine; with so many an iteration that includes a prefill chunk
-# takes 50 ms.
+# Streams that an engine runs at once. With 64 of them an iteration that includes a
+# prefill chunk takes 50 ms.
 SLOTS = 64
 SHARED_PREFIX_SHARE = 0.5
 PREFIX_BLOCKS_AT_MOST = 16
--- a/cranberrywick/bench/engine.py
+++ b/cranberrywick/bench/engine.py
@@ -56,7 +56,7 @@
 
 
 def prefill_tokens_effective(tokens: float) -> float:
-    """Return the length of a prompt without attention that takes as long to prefill."""
+    """Return the prefill cost of ``tokens`` tokens, in tokens of a short prompt."""
     return tokens * (1.0 + tokens / ATTENTION_TOKENS)
 
 
--- a/cranberrywick/standin/engine.py
+++ b/cranberrywick/standin/engine.py
@@ -122,7 +122,7 @@
             return refusal(request, refuse.details["reason"])
         body = request.json()
         try:
-            generation = self.core.begin(read_prompt(request, body))
+            generation = self.core.submit(read_prompt(request, body))
         except NotTaken as refused:
             return refusal(request, refused.reason.value)
         headers = echo_headers(request)
@@ -132,12 +132,12 @@
             events = self._events(generation, 0, self._take_faults(request.path))
             return _event_stream(events, headers)
         last = generation.prompt.output_tokens - 1
-        self.core.reading(generation, 1)
+        self.core.count_reader(generation, 1)
         try:
             if not self.core.wait_for_token(generation, last):
                 return Answer(200, _broken_body(), (("Content-Length", "1"), *headers))
         finally:
-            self.core.reading(generation, -1)
+            self.core.count_reader(generation, -1)
         return json_answer(200, whole_answer(generation), *headers)
 
     def _take_faults(self, path: str) -> StreamFaults:
@@ -157,7 +157,7 @@
     def _events(
         self, generation: Generation, first: int, faults: StreamFaults
     ) -> Iterator[bytes]:
-        self.core.reading(generation, 1)
+        self.core.count_reader(generation, 1)
         try:
             for number in range(first, generation.prompt.output_tokens + 1):
                 if number - 1 == faults.drop_after:
@@ -173,7 +173,7 @@
                     yield event(generation, number, faults)
             yield b"data: [DONE]\n\n"
         finally:
-            self.core.reading(generation, -1)
+            self.core.count_reader(generation, -1)
 
     def _streams(self, request: Request) -> Answer:
         stream_id = request.path.removeprefix("/v1/streams").strip("/")
@@ -219,7 +219,7 @@
         kind, _, name = request.path.removeprefix("/v1/cache/").partition("/")
         held = self.core.exports if kind == "exports" else self.core.imports
         with self.core.changed:
-            self.core.settle()
+            self.core.advance()
             if request.method == "GET":
                 return json_answer(200, {kind: held.describe()})
             if request.method == "DELETE":
--- a/cranberrywick/standin/engine_core.py
+++ b/cranberrywick/standin/engine_core.py
@@ -76,7 +76,12 @@
 
 @dataclass(eq=False)
 class Generation:
-    """One stream; times are on the monotonic clock, in seconds."""
+    """One stream; times are on the monotonic clock, in seconds.
+
+    ``prefill_ends`` is infinite until the prefill starts, ``abandoned_at`` the time
+    when its last reader disconnected, infinite while it has one or has had none, and
+    ``broken`` means that it ended early.
+    """
 
     prompt: Prompt
     memory_tokens: int
@@ -125,14 +130,14 @@
         held = sum(live.memory_tokens for live in self._live_by_id.values())
         return held + self.exports.tokens + self.imports.tokens
 
-    def begin(self, prompt: Prompt) -> Generation:
+    def submit(self, prompt: Prompt) -> Generation:
         """Queue a request for prefill and return its stream.
 
         Raise `NotTaken` when the engine is restarting, cold and busy, leaving or
         full.
         """
         with self.changed:
-            self.settle()
+            self.advance()
             self._check_accepts(prompt)
             memory = prompt.prompt_tokens + prompt.output_tokens
             memory -= self._imported_tokens(prompt)
@@ -147,7 +152,7 @@
             self._live_by_id[prompt.stream_id] = generation
             self._queue.append(generation)
             self._queue.sort(key=lambda queued: queued.prompt.priority)
-            self.settle()
+            self.advance()
             self.record_load()
             return generation
 
@@ -158,7 +163,7 @@
         """
         with self.changed:
             while not (generation.broken or self._closed):
-                self.settle()
+                self.advance()
                 left = self.token_time(generation, number) - time.monotonic()
                 if left <= 0:
                     return True
@@ -176,10 +181,10 @@
     def attach(self, stream_id: str) -> Generation | None:
         """Return a stream to resume, or None when it is no longer kept."""
         with self.changed:
-            self.settle()
+            self.advance()
             return self._live_by_id.get(stream_id) or self._ended_by_id.get(stream_id)
 
-    def reading(self, generation: Generation, change: int) -> None:
+    def count_reader(self, generation: Generation, change: int) -> None:
         """Record that a reader has connected (1) or disconnected (-1)."""
         with self.changed:
             generation.readers += change
@@ -199,7 +204,7 @@
     def live(self) -> list[Generation]:
         """Return the streams that are running or waiting for prefill."""
         with self.changed:
-            self.settle()
+            self.advance()
             return list(self._live_by_id.values())
 
     def turn_cold(self) -> None:
@@ -246,7 +251,7 @@
     def load(self) -> dict:
         """Return the load as of ``load_lag_seconds`` ago, or the oldest one kept."""
         with self.changed:
-            self.settle()
+            self.advance()
             self.record_load()
             now = time.monotonic()
             oldest = now - self.settings.load_lag_seconds
@@ -271,7 +276,7 @@
         }
         self._reports.append((time.monotonic(), report))
 
-    def settle(self) -> None:
+    def advance(self) -> None:
         """Apply all prefills, completions and expiries that were due by now."""
         now = time.monotonic()
         self.exports.expire()
--- a/tests/test_engine_standin.py
+++ b/tests/test_engine_standin.py
@@ -24,10 +24,10 @@
 
 def test_cold_engine_restarts_at_one_request_too_many():
     core = slow_core(cold=True, cold_slots=2)
-    first = core.begin(prompt("r1"))
-    core.begin(prompt("r2"))
+    first = core.submit(prompt("r1"))
+    core.submit(prompt("r2"))
     with pytest.raises(NotTaken) as refused:
-        core.begin(prompt("r3"))
+        core.submit(prompt("r3"))
     assert refused.value.reason is EndpointRefusal.COLD
     assert (core.overrun, core.incarnation, core.live()) == (1, 2, [])
     assert not core.wait_for_token(first, 0)
@@ -37,7 +37,7 @@
     core = EngineCore(EngineSettings(cold=True, cold_completions=2))
     for name in ("r1", "r2"):
         assert core.phase is EndpointPhase.COLD
-        generation = core.begin(prompt(name, output=1))
+        generation = core.submit(prompt(name, output=1))
         assert core.wait_for_token(generation, 0)
         core.live()
     assert core.phase is EndpointPhase.WARM
@@ -54,23 +54,23 @@
     core = slow_core(cache_tokens=1000)
     core.turn(phase)
     with pytest.raises(NotTaken) as refused:
-        core.begin(prompt("r1", tokens=tokens))
+        core.submit(prompt("r1", tokens=tokens))
     assert refused.value.reason is reason
     assert core.memory_used == 0
 
 
 def test_urgent_prompt_is_prefilled_before_others_that_wait():
     core = EngineCore(EngineSettings(prefill_tokens_per_second=100.0))
-    core.begin(prompt("reading", tokens=10))
-    patient = core.begin(prompt("patient", tokens=10, priority=5))
-    urgent = core.begin(prompt("urgent", tokens=10, priority=0))
+    core.submit(prompt("reading", tokens=10))
+    patient = core.submit(prompt("patient", tokens=10, priority=5))
+    urgent = core.submit(prompt("urgent", tokens=10, priority=0))
     assert core.wait_for_token(patient, 0)
     assert urgent.prefill_ends < patient.prefill_ends
 
 
 def test_cancel_frees_memory_and_wakes_the_reader():
     core = slow_core()
-    generation = core.begin(prompt("r1"))
+    generation = core.submit(prompt("r1"))
     seen = []
     reader = threading.Thread(
         target=lambda: seen.append(core.wait_for_token(generation, 0))
@@ -86,13 +86,13 @@
     core = slow_core()
     core.imports.add("owner", 100, ttl_seconds=0.0)
     core.exports.add("owner", 50, ttl_seconds=60.0)
-    core.settle()
+    core.advance()
     assert core.memory_used == 50
 
 
 def test_load_report_lags():
     core = slow_core(load_lag_seconds=60.0)
-    core.begin(prompt("r1"))
+    core.submit(prompt("r1"))
     report = core.load()
     assert report["running"] + report["waiting"] == 0
     assert report["age_seconds"] == 60.0
@@ -110,8 +110,8 @@
 
 def test_cached_prefix_is_not_prefilled_again():
     core = EngineCore(EngineSettings(prefill_tokens_per_second=1e6))
-    first = core.begin(prompt("r1", tokens=3000, keys=("a", "b")))
-    second = core.begin(prompt("r2", tokens=3000, keys=("a", "b")))
+    first = core.submit(prompt("r1", tokens=3000, keys=("a", "b")))
+    second = core.submit(prompt("r2", tokens=3000, keys=("a", "b")))
     assert first.prefill_seconds == pytest.approx(0.003)
     assert second.prefill_seconds == pytest.approx(0.000952)
 
@@ -119,7 +119,7 @@
 def test_slow_factor_makes_tokens_late():
     core = EngineCore(EngineSettings(prefill_tokens_per_second=1e6))
     core.set_slow_factor(10.0)
-    generation = core.begin(prompt("r1", tokens=1000, output=2))
+    generation = core.submit(prompt("r1", tokens=1000, output=2))
     assert generation.prefill_seconds == pytest.approx(0.01)
     gap = core.token_time(generation, 1) - core.token_time(generation, 0)
     assert gap == pytest.approx(0.2)
