--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -181,10 +181,10 @@
     ) -> Gateway:
         """Start a gateway process with a store address of its own.
 
-        ``store_mode`` is how the store treats this gateway, as in `modes_by_door`.
+        ``store_mode`` is how the store treats this gateway, as in `modes_by_listener`.
         """
-        door = self.await_on_loop(self.store.add_door(name))
-        self.store.modes_by_door[name] = store_mode
+        door = self.await_on_loop(self.store.add_listener(name))
+        self.store.modes_by_listener[name] = store_mode
         settings = gateway_settings(name, self._ip(name), door)
         settings["seeds"] = [g.settings["listen"]["control"] for g in self.gateways]
         path = self.path / f"{name}.json"
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 from limited_fleet import DOMAINS, LimitedFleet, run_scenario
 
-from cranberrywick.bench.virtual_time import stand_still, virtual_loop
+from cranberrywick.bench.virtual_time import suspend_loop, virtual_loop
 
 # Callers send three times as many requests as the endpoints accept.
 OVERLOAD = 3.0
@@ -113,7 +113,7 @@
 
         calls = [asyncio.create_task(call()) for _ in range(6)]
         await asyncio.sleep(0.5)
-        stand_still(6.0)
+        suspend_loop(6.0)
         resumed_at = loop.time()
         await asyncio.gather(*calls)
         assert len(granted_at) == 6
--- a/tests/test_peer_updates.py
+++ b/tests/test_peer_updates.py
@@ -60,10 +60,10 @@
     """
 
     async def scene(network, daemons):
-        daemons[5].take_job()
+        daemons[5].place_job()
         await asyncio.sleep(0.15)
         others = [d for d in daemons if d is not daemons[5]]
-        assert all(daemon.knows_job_of(daemons[5]) for daemon in others)
+        assert all(daemon.counts_job_of(daemons[5]) for daemon in others)
 
     run_scene(size, scene)
 
@@ -98,10 +98,10 @@
         assert relay.domain == sender.domain
         network.cut.add(relay.address)
         await asyncio.sleep(2.0)
-        sender.take_job()
+        sender.place_job()
         await asyncio.sleep(0.2)
         others = [d for d in daemons if d not in (relay, sender)]
-        assert all(daemon.knows_job_of(sender) for daemon in others)
+        assert all(daemon.counts_job_of(sender) for daemon in others)
         await asyncio.sleep(6.0)
         now = asyncio.get_running_loop().time()
         for daemon in others:
@@ -146,12 +146,12 @@
         await asyncio.sleep(3.0)
         network.cut.clear()
         await asyncio.sleep(1.5)
-        sender.take_job()
-        relay.take_job()
+        sender.place_job()
+        relay.place_job()
         await asyncio.sleep(0.2)
         for owner in (relay, sender):
             others = [d for d in daemons if d is not owner]
-            assert all(daemon.knows_job_of(owner) for daemon in others)
+            assert all(daemon.counts_job_of(owner) for daemon in others)
 
     run_scene(40, scene)
 
