--- a/cranberrywick/cli/config.py
+++ b/cranberrywick/cli/config.py
@@ -22,9 +22,9 @@
 __all__ = ["config", "report_in_force"]
 
 # Default time to wait until an accepted configuration is in force on every daemon,
-# which takes a few seconds.
+# in seconds; a few seconds usually suffice.
 WAIT_SECONDS = 10.0
-# Time between two requests for the status meanwhile.
+# Time between two requests for the status during this wait, in seconds.
 POLL_SECONDS = 0.2
 
 
--- a/cranberrywick/endpoints/connection.py
+++ b/cranberrywick/endpoints/connection.py
@@ -30,7 +30,8 @@
     that earlier reads have not used.
 
     ``deadline`` is in seconds of `time.monotonic`; None lifts the bound.
-    ``disconnected`` is polled while a read waits, which then raises `CallerGone`.
+    ``disconnected`` is polled while a read waits; once it returns True, the read
+    raises `CallerGone`.
     """
 
     deadline: float | None = 0.0
--- a/cranberrywick/endpoints/events.py
+++ b/cranberrywick/endpoints/events.py
@@ -45,7 +45,7 @@
 
     ``last_event`` is the number of the last accepted event, -1 before the first;
     ``output_tokens`` is the count from the usage event, None before it; ``ended``
-    tells whether ``[DONE]`` has arrived.
+    is True once ``[DONE]`` has arrived.
 
     >>> check = EventCheck("r1", 1)
     >>> check.feed(b'id: 0\\ndata: {"id": "r1.1"}\\n\\nid: 1')
--- a/cranberrywick/endpoints/exchange.py
+++ b/cranberrywick/endpoints/exchange.py
@@ -23,7 +23,7 @@
     ``remaining_seconds`` is the time left until the request's deadline; it bounds
     connecting, the wait for the first byte and all reads together. ``disconnected``
     returns whether the caller has closed its connection; waiting then ends with
-    `CallerGone`. ``owner`` names the daemon that sends the request; the engine
+    `CallerGone`. ``owner`` is sent as ``X-Owner`` unless it is empty; the engine
     lists it with the stream, so that the sweep finds streams whose owner is gone.
     """
 
--- a/cranberrywick/endpoints/orders.py
+++ b/cranberrywick/endpoints/orders.py
@@ -78,9 +78,11 @@
 
 @dataclass(frozen=True)
 class HeldByOther:
-    """Another daemon orders this endpoint, or too many endpoints are under an order.
+    """Nothing was sent, because other orders are under way.
 
-    The latter includes another endpoint of the same failure domain.
+    Either this endpoint or another one of its failure domain is under an order, or
+    as many endpoints of the fleet are as the ``limit`` of `OrderSender.give` allows.
+    The outcome is the same if the lease lapsed before its key was written.
     """
 
 
@@ -97,7 +99,10 @@
 
 @dataclass(frozen=True)
 class Unconfirmed:
-    """The order was sent and not answered; the next load report shows its effect."""
+    """The order may have arrived, but there was no usable answer.
+
+    A later load report shows whether it took effect.
+    """
 
     error_type: str
 
@@ -179,8 +184,9 @@
         outcome = self._send_under_lease(held, endpoint, order)
         if not _was_sent(outcome):
             self._end_lease(held)
-        # After a send the lease is kept until it expires: reports may not show the
-        # effect yet, and an unanswered order may still be in transit.
+        # After a send that the endpoint did not refuse, the lease is kept until it
+        # expires: reports may not show the effect yet, and an unanswered order may
+        # still be in transit.
         return outcome
 
     def _take_lease(self, endpoint: Endpoint, limit: int) -> _HeldLease | None:
--- a/cranberrywick/external/key_value.py
+++ b/cranberrywick/external/key_value.py
@@ -65,7 +65,7 @@
 
 
 class WatchAnswer(NamedTuple):
-    """Changes in the order of their revisions; none if the wait ended before one."""
+    """Changes in the order of their revisions; none if the wait ended without any."""
 
     events: tuple[WatchEvent, ...]
     store_revision: int
--- a/cranberrywick/filters/dispatch.py
+++ b/cranberrywick/filters/dispatch.py
@@ -105,8 +105,8 @@
     def leave(self, exchange: Exchange, outcome: Outcome) -> None:
         """Release the slot of a request that failed.
 
-        An attempt's result releases its slot, but there is none when, for example,
-        the caller has disconnected.
+        The result of an attempt releases its slot. A request can end without a
+        result, for example when its caller disconnects while it is queued.
         """
         if not isinstance(outcome, Completed):
             self._dispatcher.withdraw(exchange.request_id)
--- a/cranberrywick/reports/losses.py
+++ b/cranberrywick/reports/losses.py
@@ -3,7 +3,8 @@
 Each `request_ended` line holds the predicted and the measured times of a request.
 Losses are counted in worth: a request has the worth of its route, scaled by the size
 of its prompt. All of it is lost when there was no whole answer, and a part of it when
-the answer was late or paused for too long.
+the answer was late or paused for too long. A request whose cause is in `NOT_OWED`
+loses nothing.
 
 >>> report = losses_of(lines, Weights({"captions": 1.3}, late_share=0.25))
 >>> report.by_cause[Cause.PAUSED].lost
