--- a/cranberrywick/reports/loss_table.py
+++ b/cranberrywick/reports/loss_table.py
@@ -59,7 +59,7 @@
 
 def _totals(report: LossReport, served: float | None) -> list[str]:
     if not report.owed:
-        return ["no request that the service had to answer"]
+        return ["no request that was allowed"]
     share = report.lost / report.owed
     lines = [f"owed {report.owed:.1f}, lost {report.lost:.1f} ({share:.3f})"]
     if served is not None:
--- a/cranberrywick/reports/table.py
+++ b/cranberrywick/reports/table.py
@@ -64,6 +64,6 @@
     ]
     if partly_observed:
         notes.append(
-            f"share of the window that was observed: {', '.join(partly_observed)}"
+            f"part of the window that was seen: {', '.join(partly_observed)}"
         )
     return notes
