--- a/cranberrywick/bench/relay_product.py
+++ b/cranberrywick/bench/relay_product.py
@@ -16,8 +16,8 @@
 
 __all__ = ["serve_daemon"]
 
-# Declared slots of the source, which serves any number of streams: so many that the
-# daemon never queues one.
+# Declared slots of the source. The source serves any number of streams, and with this
+# value the daemon does not queue a stream for lack of slots.
 SOURCE_SLOTS = 4000
 THREADS = 1050
 # Time from readiness to the start of the measurement, in seconds.
--- a/cranberrywick/errors.py
+++ b/cranberrywick/errors.py
@@ -129,7 +129,7 @@
 
 
 class NotFound(InvalidRequest):
-    """There is no such path, or the path does not support the method."""
+    """There is no such path, call of a path, version or other named object."""
 
     type = "not_found"
     status = 404
--- a/cranberrywick/logs.py
+++ b/cranberrywick/logs.py
@@ -26,8 +26,8 @@
 # Longest value in a line, in characters. Longer ones are cut, since a value may come
 # from a caller's input of megabytes.
 MAX_VALUE_CHARACTERS = 400
-# Number of ids joined in one value, which fit for ids of about ten to twenty
-# characters.
+# Largest number of ids joined in one value. With ids of up to 19 characters the value
+# is not longer than `MAX_VALUE_CHARACTERS`.
 IDS_PER_VALUE = 20
 # Number of innermost stack frames that an error's line names.
 MAX_FRAMES = 3
@@ -80,7 +80,8 @@
 def id_lists(ids: Sequence[str]) -> Iterator[str]:
     """Yield the ids as comma-separated values, each short enough for one log line.
 
-    No value is cut, so that a search of the log for any of the ids finds its line.
+    Values of ids of up to 19 characters are not cut in the log, so that a search for
+    any of the ids finds its line.
 
     >>> list(id_lists(["e1", "e2"]))
     ['e1,e2']
--- a/cranberrywick/standin/platform/endpoint.py
+++ b/cranberrywick/standin/platform/endpoint.py
@@ -6,8 +6,8 @@
 ============ ===========================================================
 well         answers correctly
 failing      runs the request and answers 500
-full         answers 503 and that it did not run the request; an engine that would
-             have it as a helper does so too
+full         answers 503 and states that the request did not run; an engine whose
+             request has it as a helper answers the same
 reset        runs the request and resets the connection
 hang         runs the request and does not answer
 twice        sends the whole answer twice
--- a/cranberrywick/timers.py
+++ b/cranberrywick/timers.py
@@ -171,8 +171,8 @@
                     self._changed.wait(self._seconds_until(next_due))
 
     def _has_changed_since(self, next_due: float | None) -> bool:
-        # True if a subscription was added after `run_due` returned; the thread must
-        # then not wait until the time that it returned.
+        # True if a subscription added after `run_due` returned is due before all
+        # others; the thread must then not wait until the time that `run_due` returned.
         return bool(self._heap) and self._heap[0][0] != next_due
 
     def _seconds_until(self, due: float | None) -> float | None:
--- a/tests/test_must_hold.py
+++ b/tests/test_must_hold.py
@@ -449,9 +449,9 @@
     def test_a_daemon_is_told_to_stop_while_it_streams(self, fleet):
         """A daemon that gets SIGTERM completes its stream and serves late callers.
 
-        Its address is no longer given to callers. It goes on serving those that still
-        hold the address, until their answers have expired, lets the stream end and
-        exits with 0.
+        From then on its address is no longer given to callers. The daemon goes on
+        serving those that still hold the address, until their answers have expired,
+        lets the stream end and exits with 0.
         """
         daemon, other, _ = fleet.daemons
         with open_stream(daemon, 200) as response:
