--- a/cranberrywick/bench/prompt_engines.py
+++ b/cranberrywick/bench/prompt_engines.py
@@ -134,8 +134,8 @@
     def run_pass(self) -> tuple[float, list[SimulatedPrompt], list[SimulatedPrompt]]:
         """Run one pass.
 
-        Return its duration in seconds, the prompts that decoded and those of which a
-        part was prefilled.
+        Return its duration in seconds, the prompts that decoded and those of which the
+        pass completed the prefill of a part.
         """
         self.admit()
         seconds, steps = 0.0, 1
--- a/cranberrywick/standin/faults.py
+++ b/cranberrywick/standin/faults.py
@@ -70,7 +70,10 @@
         return None
 
     def hold(self, kind: str) -> None:
-        """Block until the kind is cleared, at most `HOLD_LIMIT_SECONDS`."""
+        """Block until the kind is cleared or the stand-in stops.
+
+        It takes at most `HOLD_LIMIT_SECONDS`.
+        """
         with self._changed:
             releases = self._releases_by_kind[kind]
             self._held_by_kind[kind] += 1
