--- a/cranberrywick/reports/table.py
+++ b/cranberrywick/reports/table.py
@@ -63,7 +63,5 @@
         if share < FULL_COVERAGE
     ]
     if partly_observed:
-        notes.append(
-            f"part of the window that was seen: {', '.join(partly_observed)}"
-        )
+        notes.append(f"part of the window that was seen: {', '.join(partly_observed)}")
     return notes
