--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -211,7 +211,7 @@
         wait_for(lambda: self.is_ready(gateway), f"{gateway.name} to be ready")
 
     def is_ready(self, gateway: Gateway) -> bool:
-        """Whether the gateway answers that it is ready."""
+        """Return whether the gateway answers that it is ready."""
         try:
             url = f"http://{gateway.ready}/ready"
             return urllib3.request("GET", url, retries=False).status == 200
--- a/tests/test_ask.py
+++ b/tests/test_ask.py
@@ -1,4 +1,8 @@
-"""The caller and ``cranberrywick ask``, against entries with prepared answers."""
+"""The caller and ``cranberrywick ask``, against entries with prepared answers.
+
+Guards against a request that is sent a second time although it may have run, and
+against callers that give up while another entry could answer.
+"""
 
 import json
 import threading
--- a/tests/test_at_fault.py
+++ b/tests/test_at_fault.py
@@ -1,7 +1,7 @@
 """Which endpoints may answer a request after an attempt failed.
 
-Guards against retries at an endpoint whose failure would repeat, and against needless
-refusals.
+Guards against a retry at an endpoint that was at fault, and against requests that wait
+for an endpoint that was removed.
 """
 
 import random
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,8 @@
-"""Bad input to a real daemon: each gets a typed answer, and the daemon serves on."""
+"""Bad input to a real daemon: each gets a typed answer, and the daemon serves on.
+
+Guards against input that ends a daemon or gets an answer from which a caller can't tell
+whether the call ran.
+"""
 
 import json
 import socket
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,7 +1,6 @@
 """Burn of the error budget: counters, windows and the answer of a daemon.
 
-Guards against requests that are counted in the wrong window or objective, or that no
-longer count or still count when they should not.
+Guards against requests that are counted for the wrong window, objective or class.
 """
 
 import math
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,8 @@
-"""Claims: at most one holder, replayed results, refusals of calls that never ran."""
+"""Claims: at most one holder, replayed results, refusals of calls that never ran.
+
+Guards against a call that runs twice under one key, and against a key that stays
+blocked by a claim whose call never ran.
+"""
 
 import threading
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,6 +1,7 @@
 """The ramp of an endpoint in cold start.
 
-Guards against more work for a cold endpoint than it has shown that it can do.
+Guards against a cold endpoint that gets more requests than its completed ones allow, or
+that is not detected from its first-token times.
 """
 
 from cranberrywick.decisions.cold_start import ColdRamp, FirstTokenWatch, Trouble
--- a/tests/test_configuration_controller.py
+++ b/tests/test_configuration_controller.py
@@ -102,8 +102,8 @@
 def test_a_missed_watch_event_is_made_good_by_a_read(standin, store, start_controller):
     """Guards against keeping an old version forever because a watch missed a change.
 
-    The watch ends without the event, as after a gap. The daemon must find the change
-    by the read that follows each watch.
+    The watch ends without the event, as after a gap in its events. The daemon must
+    find the change by the read that follows each watch.
     """
     controller = start_controller()
     controller.change(take_out())
@@ -228,7 +228,7 @@
 
 
 def test_a_lost_answer_is_settled_even_when_another_change_follows(standin):
-    """A's write is done, its answer is lost, and B makes another change after it.
+    """Operator A's write is done, its answer is lost, and B makes another change.
 
     A reads back version 2, which is B's. A must find its own change in that version's
     list of changes, return it as accepted and not write a second time.
--- a/tests/test_decisions_bench.py
+++ b/tests/test_decisions_bench.py
@@ -1,4 +1,8 @@
-"""The scheduling benchmark: runs are reproducible and leave no state in engines."""
+"""The scheduling benchmark: runs are reproducible and leave no state in engines.
+
+Guards against results that can't be compared between runs, and against memory that
+simulated engines never free.
+"""
 
 from cranberrywick.bench.arrivals import arrivals, endpoints
 from cranberrywick.bench.run import Run
--- a/tests/test_decisions_modules.py
+++ b/tests/test_decisions_modules.py
@@ -1,4 +1,8 @@
-"""Tests of each decision module by itself, against the load that it is made for."""
+"""Tests of each decision module by itself, against the load that it is made for.
+
+Guards against modules that starve an organisation, misjudge an endpoint's load or
+exclude a healthy endpoint.
+"""
 
 from random import Random
 
--- a/tests/test_decisions_scheduler.py
+++ b/tests/test_decisions_scheduler.py
@@ -1,4 +1,8 @@
-"""Tests of the whole scheduler through the strategy interface."""
+"""Tests of the whole scheduler through the strategy interface.
+
+Guards against work that waits in vain, is late though it could be on time, or goes to
+an endpoint that may not have it.
+"""
 
 from decisions_support import (
     TARGETS,
--- a/tests/test_endpoint_controller.py
+++ b/tests/test_endpoint_controller.py
@@ -1,4 +1,8 @@
-"""Tests for the controller that keeps the endpoints' state current."""
+"""Tests for the controller that keeps the endpoints' state current.
+
+Guards against work for endpoints that leave, and against a listing that costs too much
+traffic.
+"""
 
 from configuration_documents import document
 
--- a/tests/test_endpoint_phases.py
+++ b/tests/test_endpoint_phases.py
@@ -1,4 +1,7 @@
-"""An endpoint reported as leaving stays so until a new incarnation."""
+"""An endpoint reported as leaving stays so until a new incarnation.
+
+Guards against new work for a leaving endpoint after an older report that it is warm.
+"""
 
 from cranberrywick.decisions.endpoint_phases import EndpointPhases
 from cranberrywick.model import EndpointLoad, EndpointPhase
--- a/tests/test_endpoints_client.py
+++ b/tests/test_endpoints_client.py
@@ -1,4 +1,8 @@
-"""Sending to one endpoint: whether a call ran, and that answers are not mixed up."""
+"""Sending to one endpoint: whether a call ran, and that answers are not mixed up.
+
+Guards against a call that is reported as not run although it may have run, and against
+another caller's answer.
+"""
 
 import json
 import socket
--- a/tests/test_engine_standin.py
+++ b/tests/test_engine_standin.py
@@ -1,7 +1,7 @@
 """Behaviour of the engine stand-in that other tests rely on.
 
-Guards against tests that pass only because the stand-in is easier on daemons than an
-engine.
+Guards against tests that pass only because the stand-in lacks a limit, delay or fault
+of an engine.
 """
 
 import threading
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,8 @@
-"""Tests of gangs: the plan, the order of reservations, and running engines."""
+"""Tests of gangs: the plan, the order of reservations, and running engines.
+
+Guards against engines' memory that is exceeded or stays reserved after the request has
+ended.
+"""
 
 import hypothesis.strategies as st
 import pytest
--- a/tests/test_gateway_attempt.py
+++ b/tests/test_gateway_attempt.py
@@ -1,4 +1,7 @@
-"""Attempts at endpoints, and records that can't be read, without a network."""
+"""Attempts at endpoints, and records that can't be read, without a network.
+
+Guards against requests that fail although another endpoint could serve them.
+"""
 
 import asyncio
 import io
--- a/tests/test_grants_authority.py
+++ b/tests/test_grants_authority.py
@@ -1,4 +1,7 @@
-"""Tests for the platform's lease that makes a daemon the only steward of a shard."""
+"""Tests for the platform's lease that makes a daemon the only steward of a shard.
+
+Guards against two daemons that count as holders of a shard at the same time.
+"""
 
 import pytest
 
--- a/tests/test_grants_exchange.py
+++ b/tests/test_grants_exchange.py
@@ -1,4 +1,8 @@
-"""Tests for demands and grants between daemons over real sockets."""
+"""Tests for demands and grants between daemons over real sockets.
+
+Guards against slots that stay unused or are granted twice when demand, steward or
+endpoint change.
+"""
 
 import pytest
 from peer_fleet import Fleet, wait_for
--- a/tests/test_service_call.py
+++ b/tests/test_service_call.py
@@ -1,4 +1,7 @@
-"""The request that a plain service receives for a call."""
+"""The request that a plain service receives for a call.
+
+Guards against a call that the service receives with another path or query.
+"""
 
 from cranberrywick.configuration.document import EMPTY, Service, ServiceCall
 from cranberrywick.filters.exchange import CallerStream, Exchange
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -1,4 +1,8 @@
-"""Tests for the sweep, which releases engine memory whose owner can no longer do so."""
+"""Tests for the sweep, which releases engine memory whose owner can no longer do so.
+
+Guards against memory that stays reserved, and against memory released while its owner
+uses it.
+"""
 
 import subprocess
 import sys
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,7 @@
-"""Waiting requests are placed, or refused once they can't meet their deadline."""
+"""Waiting requests are placed, or refused once they can't meet their deadline.
+
+Guards against refusals that come too late for a retry, and against needless ones.
+"""
 
 import asyncio
 from types import SimpleNamespace
