--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -1,5 +1,8 @@
 """The operators' commands against a daemon's operator interface.
 
+Guards against a change that is lost, made twice or made on an outdated version, and
+against failures without an exit code or type.
+
 The golden file holds a session: the commands and their output. ``UPDATE_GOLDEN=1``
 rewrites it; review the difference before committing it.
 """
--- a/tests/test_gateway_soak.py
+++ b/tests/test_gateway_soak.py
@@ -1,4 +1,7 @@
-"""Short runs of the soak test with fixed seeds; longer ones are started by hand."""
+"""Short runs of the soak test with fixed seeds; longer ones are started by hand.
+
+Guards against wrong refusals and answers that only a combination of faults causes.
+"""
 
 import pytest
 from gateway_soak import run_seed
--- a/tests/transcript.py
+++ b/tests/transcript.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 GOLDEN_FOLDER = ROOT / "tests" / "golden" / "sessions"
 UPDATE_VARIABLE = "UPDATE_GOLDEN"
-# Left out of the transcript: the date, the server's name, whether the connection is kept
+# Left out of the transcript: the date, the server's name, whether the connection stays
 # open, and how the body was divided on the wire, which depends on timing.
 VARYING_HEADERS = frozenset({"date", "transfer-encoding", "connection", "server"})
 READ_TIMEOUT_SECONDS = 60.0
