--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -51,7 +51,7 @@
 
 
 def test_a_silent_member_is_probed_through_relays_then_suspect_then_dead():
-    """A daemon is killed; a few seconds later the others give its address no more.
+    """A daemon is killed; a few seconds later the others no longer list its address.
 
     It answers neither the direct probe nor those through two relays. It is suspect for
     three seconds, does not refute, and is then declared dead.
--- a/tests/test_service_call.py
+++ b/tests/test_service_call.py
@@ -20,8 +20,8 @@
     """Guards against a path or query that is changed on the way to the service.
 
     The server decodes the path and splits off the query. Without the query, the
-    service would answer for all slots instead of one team's; with an unencoded space
-    in the path the call could not be sent.
+    service would answer for other slots than those of the day that the caller asked
+    for; with an unencoded space in the path the call could not be sent.
     """
     exchange = Exchange(
         request_id="r1",
