--- a/tests/test_at_fault.py
+++ b/tests/test_at_fault.py
@@ -1,4 +1,8 @@
-"""Which endpoints may answer a request after an attempt failed."""
+"""Which endpoints may answer a request after an attempt failed.
+
+Guards against a retry at an endpoint that was at fault, and against requests that wait
+for an endpoint that was removed.
+"""
 
 import random
 
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,7 @@
-"""Burn of the error budget: counters, windows and the answer of a daemon."""
+"""Burn of the error budget: counters, windows and the answer of a daemon.
+
+Guards against requests that are counted for the wrong window, objective or class.
+"""
 
 import math
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,8 @@
-"""The ramp of an endpoint in cold start."""
+"""The ramp of an endpoint in cold start.
+
+Guards against a cold endpoint that gets more requests than its completed ones allow, or
+that is not detected from its first-token times.
+"""
 
 from cranberrywick.decisions.cold_start import ColdRamp, FirstTokenWatch, Trouble
 from cranberrywick.model import EndpointPhase
--- a/tests/test_service_call.py
+++ b/tests/test_service_call.py
@@ -1,4 +1,7 @@
-"""The request that a plain service receives for a call."""
+"""The request that a plain service receives for a call.
+
+Guards against a call that the service receives with another path or query.
+"""
 
 from cranberrywick.configuration.document import EMPTY, Service, ServiceCall
 from cranberrywick.filters.exchange import CallerStream, Exchange
@@ -17,8 +20,8 @@
     """Guards against a path or query that is changed on the way to the service.
 
     The server decodes the path and splits off the query. Without the query, the
-    service would answer for all slots instead of one team's; with an unencoded space
-    in the path the call could not be sent.
+    service would answer for other slots than those of the day that the caller asked
+    for; with an unencoded space in the path the call could not be sent.
     """
     exchange = Exchange(
         request_id="r1",
