--- a/cranberrywick/controllers/endpoints.py
+++ b/cranberrywick/controllers/endpoints.py
@@ -54,10 +54,10 @@
 class EndpointController(ThreadingActor):
     """Keeps the endpoints, their phases and their loads for one daemon.
 
-    ``listed`` is called with the board after each new VM list or configuration,
-    ``heard`` with each load report that this daemon has requested, unless it is
-    outdated, and ``left`` with the id and incarnation of an endpoint that this daemon
-    finds to be leaving.
+    ``on_listed`` is called with the board after each new VM list or configuration,
+    ``on_load`` with each load report that this daemon has requested, unless it is
+    outdated, and ``on_leaving`` with the id and incarnation of an endpoint that this
+    daemon finds to be leaving.
     """
 
     # The actor's thread must not keep the process of a daemon running whose start
@@ -70,9 +70,9 @@
         board: EndpointBoard,
         dispatcher: Dispatcher,
         log: EventLog,
-        listed: Callable[["EndpointBoard"], None] = lambda board: None,
-        heard: Callable[[EndpointLoad], None] = lambda load: None,
-        left: Callable[[str, int], None] = lambda endpoint_id, incarnation: None,
+        on_listed: Callable[["EndpointBoard"], None] = lambda board: None,
+        on_load: Callable[[EndpointLoad], None] = lambda load: None,
+        on_leaving: Callable[[str, int], None] = lambda endpoint_id, incarnation: None,
         clock: Callable[[], float] = time.monotonic,
     ):
         super().__init__()
@@ -80,9 +80,9 @@
         self._board = board
         self._dispatcher = dispatcher
         self._log = log
-        self._on_listed = listed
-        self._on_load = heard
-        self._on_leaving = left
+        self._on_listed = on_listed
+        self._on_load = on_load
+        self._on_leaving = on_leaving
         self._polled_ids: frozenset[str] = frozenset()
         self._clock = clock
         self._configuration: Configuration | None = None
@@ -217,9 +217,10 @@
         self._polling.discard(endpoint_id)
 
     def record_load(self, load: EndpointLoad) -> None:
-        """Apply a report that this daemon requested, and call ``heard`` with it.
+        """Apply a report that this daemon requested, and call ``on_load`` with it.
 
-        ``heard`` is not called for a report that is outdated or of an unknown endpoint.
+        ``on_load`` is not called for a report that is outdated or of an unknown
+        endpoint.
         """
         if self._apply_load(load):
             self._on_load(load)
--- a/cranberrywick/controllers/membership.py
+++ b/cranberrywick/controllers/membership.py
@@ -241,7 +241,7 @@
     def receive(self, envelope: Envelope) -> None:
         """Handle a verified message."""
         now = self._clock()
-        self._membership.heard(envelope.sender)
+        self._membership.record_contact(envelope.sender)
         body = envelope.body
         if isinstance(body, Hello):
             self._handle_hello(envelope, body, now)
--- a/cranberrywick/daemon.py
+++ b/cranberrywick/daemon.py
@@ -100,9 +100,9 @@
             self._board,
             self._dispatcher,
             self._log,
-            listed=self._endpoints_listed,
-            heard=self._peers.report_load,
-            left=self._peers.announce_leaving,
+            on_listed=self._endpoints_listed,
+            on_load=self._peers.report_load,
+            on_leaving=self._peers.announce_leaving,
         ).proxy()
         self._sweeper = ControllerHandle(
             SweepController, self._stewarded_engines, self._owner_state
--- a/cranberrywick/decisions/admission.py
+++ b/cranberrywick/decisions/admission.py
@@ -212,8 +212,8 @@
             MIN_RETRY_SECONDS,
             self._refused_seconds / max(MIN_DRAIN_RATE, endpoints),
         )
-        wanted = drained + spread * self._random.random()
-        return min(MAX_RETRY_SECONDS * (0.5 + self._random.random()), wanted)
+        retry_seconds = drained + spread * self._random.random()
+        return min(MAX_RETRY_SECONDS * (0.5 + self._random.random()), retry_seconds)
 
     def is_overloaded(self, now: float) -> bool:
         """Whether work was refused for lack of capacity in the last few seconds."""
--- a/cranberrywick/decisions/hot_organisations.py
+++ b/cranberrywick/decisions/hot_organisations.py
@@ -14,12 +14,12 @@
 alone, and a large organisation is not hot merely because it is large. The work of a hot
 organisation is ignored when endpoints are reserved for short prompts.
 
-Grounds: rates are averages over ten seconds, so a burst that the queue can absorb is
-over before an organisation counts as hot, and the state ends as quickly. Averages over
-ten seconds may differ by a tenth without overload, so demand has to exceed the served
-work by more than that. Keeping one reserved endpoint open for the other organisations
-was tried: it cost more of a full fleet's work (three in a hundred) than it gained
-(docs/design/scheduling.md).
+Grounds: demand and served work are sums that decay over ten seconds, so a burst that
+the queue can absorb is over before an organisation counts as hot, and the state ends as
+quickly. Such sums may differ by a tenth without overload, so demand has to exceed the
+served work by more than that. Keeping one reserved endpoint open for the other
+organisations was tried: it cost more of a full fleet's work (three in a hundred) than
+it gained (docs/design/scheduling.md).
 """
 
 from collections.abc import Iterable
@@ -27,27 +27,27 @@
 
 __all__ = ["HotOrganisations", "fair_level"]
 
-# Time constant of the averages, in seconds.
+# Time constant of the decaying sums, in seconds.
 WINDOW_SECONDS = 10.0
 # The fleet is overloaded if demand is more than this multiple of the served work.
 OVERLOAD_RATIO = 1.1
 # An organisation is dropped when its decayed demand is this small, in engine seconds.
-MIN_RATE = 1e-4
+MIN_DEMAND_SECONDS = 1e-4
 
 
-def fair_level(rates: Iterable[float], capacity: float) -> float:
-    """Return the max-min fair share of ``capacity``, or infinity if all rates fit.
+def fair_level(demands: Iterable[float], capacity: float) -> float:
+    """Return the max-min fair share of ``capacity``, or infinity if all demands fit.
 
     >>> fair_level([1.0, 2.0, 20.0], capacity=10.0)
     7.0
     """
-    ordered = sorted(rates)
+    ordered = sorted(demands)
     remaining = capacity
-    for index, rate in enumerate(ordered):
+    for index, demand in enumerate(ordered):
         share = remaining / (len(ordered) - index)
-        if rate >= share:
+        if demand >= share:
             return share
-        remaining -= rate
+        remaining -= demand
     return float("inf")
 
 
@@ -85,11 +85,11 @@
         if total > OVERLOAD_RATIO * self._served_seconds:
             level = fair_level(demand_by_organisation.values(), self._served_seconds)
         self._hot = frozenset(
-            name for name, rate in demand_by_organisation.items() if rate > level
+            name for name, demand in demand_by_organisation.items() if demand > level
         )
         self._served_seconds *= factor
         self._offered_by_organisation = {
-            name: rate * factor
-            for name, rate in demand_by_organisation.items()
-            if rate > MIN_RATE
+            name: demand * factor
+            for name, demand in demand_by_organisation.items()
+            if demand > MIN_DEMAND_SECONDS
         }
--- a/cranberrywick/decisions/membership.py
+++ b/cranberrywick/decisions/membership.py
@@ -126,7 +126,7 @@
             if member.daemon_id != self._self_id and member.status is not Status.DEAD
         ]
 
-    def heard(self, daemon_id: str) -> None:
+    def record_contact(self, daemon_id: str) -> None:
         """Record that a verified message arrived from the member itself."""
         member = self._members_by_id.get(daemon_id)
         if member is not None and member.status is Status.LEAVING:
--- a/cranberrywick/peers/transport.py
+++ b/cranberrywick/peers/transport.py
@@ -62,7 +62,7 @@
     return host, int(port)
 
 
-def _is_never_cut(_address: str) -> bool:
+def _no_address_is_cut(_address: str) -> bool:
     return False
 
 
@@ -91,7 +91,7 @@
         # the thread pool is unbounded.
         self._free_servers = threading.Semaphore(SERVER_THREADS)
         self.counts = TransportCounts()
-        self.is_cut: Callable[[str], bool] = _is_never_cut
+        self.is_cut: Callable[[str], bool] = _no_address_is_cut
 
     @property
     def address(self) -> str:
--- a/tests/test_endpoint_controller.py
+++ b/tests/test_endpoint_controller.py
@@ -28,7 +28,7 @@
             self.board,
             Dispatcher(make_strategy("least-outstanding", seed=1)),
             EventLog(),
-            left=lambda *arguments: self.left.append(arguments),
+            on_leaving=lambda *arguments: self.left.append(arguments),
             clock=lambda: self.now,
         )
         self.controller.configure(check(document()))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -172,7 +172,7 @@
             continue
         other = memberships[probe.daemon_id]
         for sender, receiver in ((membership, other), (other, membership)):
-            receiver.heard(sender.myself.daemon_id)
+            receiver.record_contact(sender.myself.daemon_id)
             for update in sender.updates_for(receiver.myself.daemon_id, limit=8):
                 receiver.apply_update(update, now)
         membership.answered(probe.round, probe.daemon_id)
