--- a/cranberrywick/bench/prompts.py
+++ b/cranberrywick/bench/prompts.py
@@ -39,7 +39,7 @@
     Service,
 )
 from cranberrywick.routing.placement import Part, Placement, Placer
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 
 __all__ = [
     "FLEETS",
@@ -108,7 +108,7 @@
 @register_strategy("priced")
 def _priced(load: FleetLoad, rng: random.Random, update_delay_seconds: float) -> Place:
     placer = Placer(
-        load, EndpointHealth(), EngineSlowdowns(), rng, lambda: update_delay_seconds
+        load, EndpointHealth(), EndpointSlowdowns(), rng, lambda: update_delay_seconds
     )
     return placer.place
 
--- a/cranberrywick/bench/request_path.py
+++ b/cranberrywick/bench/request_path.py
@@ -30,7 +30,7 @@
 )
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.relays import update_delay_seconds
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 
 __all__ = ["Fleet", "measure"]
 
@@ -107,7 +107,7 @@
     placer = Placer(
         _load(fleet, rng),
         EndpointHealth(),
-        EngineSlowdowns(),
+        EndpointSlowdowns(),
         rng,
         lambda: update_delay_seconds(fleet.daemons),
     )
--- a/cranberrywick/gateway/forwarder.py
+++ b/cranberrywick/gateway/forwarder.py
@@ -36,7 +36,7 @@
 from cranberrywick.routing.model import GatewaySettings
 from cranberrywick.routing.placement import Placement
 from cranberrywick.routing.retry_after import (
-    LEAST_SECONDS_WITHOUT_STORE,
+    MIN_SECONDS_WITHOUT_STORE,
     STARTING_SECONDS,
 )
 from cranberrywick.routing.retry_budget import RetryBudget
@@ -48,7 +48,7 @@
 # that the caller receives the gateway's error answer before the timeout.
 TIMEOUT_MARGIN_SECONDS = 0.01
 # Least time that must be left before the deadline for another attempt, in seconds.
-LEAST_ATTEMPT_SECONDS = 0.05
+MIN_ATTEMPT_SECONDS = 0.05
 
 
 class Forwarder:
@@ -123,10 +123,10 @@
         """
         table = self._state.table
         if table is None:
-            is_without_store = self._state.store_is_away
+            is_without_store = self._state.store_is_unavailable
             raise PlatformUnavailable(
                 "no configuration is known yet",
-                retry_after=LEAST_SECONDS_WITHOUT_STORE
+                retry_after=MIN_SECONDS_WITHOUT_STORE
                 if is_without_store
                 else STARTING_SECONDS,
             )
@@ -270,7 +270,7 @@
             return "it may have run"
         if exchange.caller.answer_started and not exchange.is_stream:
             return "the answer has begun"
-        if exchange.deadline - now < LEAST_ATTEMPT_SECONDS:
+        if exchange.deadline - now < MIN_ATTEMPT_SECONDS:
             return "no time is left"
         if exchange.answering_ids is not None and not exchange.answering_ids:
             return "no further endpoint is allowed"
--- a/cranberrywick/gateway/heartbeat_rows.py
+++ b/cranberrywick/gateway/heartbeat_rows.py
@@ -18,7 +18,7 @@
 from cranberrywick.routing.endpoint_limits import LimitReport
 from cranberrywick.routing.load import Job
 from cranberrywick.routing.members import Heartbeat
-from cranberrywick.routing.slowdown import EngineSlowdown
+from cranberrywick.routing.slowdown import EndpointSlowdown
 
 __all__ = [
     "HeartbeatBatch",
@@ -102,7 +102,7 @@
     operator_digest: _Count
     operator_age_ms: _Milliseconds
     jobs: tuple[_JobRow, ...]
-    slow_engines: tuple[EngineSlowdown, ...]
+    slow_engines: tuple[EndpointSlowdown, ...]
     limits: tuple[_LimitRow, ...] = ()
 
 
--- a/cranberrywick/gateway/peer_updates.py
+++ b/cranberrywick/gateway/peer_updates.py
@@ -35,7 +35,7 @@
     KEEPALIVE_SECONDS,
     update_delay_seconds,
 )
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 
 __all__ = ["DaemonStatus", "PeerUpdateListener", "PeerUpdates"]
 
@@ -108,7 +108,7 @@
         contact = settings.bounds.contact_seconds
         self.members = Members(settings.daemon_id, contact)
         self.load = FleetLoad()
-        self.slowdowns = EngineSlowdowns()
+        self.slowdowns = EndpointSlowdowns()
         self.limits = FleetLimits(
             settings.daemon_id,
             self.members,
@@ -130,7 +130,7 @@
         """Start to receive and to send updates."""
         await self.link.start(self._settings.ip, self._settings.internal_ports[0])
         self.send_heartbeat()
-        ticker.every(SILENCE_CHECK_SECONDS, self._evict_silent)
+        ticker.every(SILENCE_CHECK_SECONDS, self._check_members)
         ticker.every(KEEPALIVE_SECONDS, self._relaying.keep_alive)
 
     def set_registered_addresses(self, addresses_by_id: dict[str, str]) -> None:
@@ -333,7 +333,7 @@
                     peer=heartbeat.daemon_id,
                 )
 
-    def _evict_silent(self) -> None:
+    def _check_members(self) -> None:
         now = self._loop.time()
         for daemon_id in self.members.detect_silent(now):
             self._log.warning("peer_silent", peer=daemon_id)
--- a/cranberrywick/gateway/permitted_placements.py
+++ b/cranberrywick/gateway/permitted_placements.py
@@ -46,12 +46,12 @@
         """
         for _ in range(MAX_PERMITS_REQUESTED):
             placement = await self._place(exchange)
-            asked_at = self._loop.time()
+            requested_at = self._loop.time()
             admission = await self._state.peer_updates.permits.admit(
                 placement.endpoint_id, placement.longest_wait
             )
             if admission.steward:
-                seconds = self._loop.time() - asked_at
+                seconds = self._loop.time() - requested_at
                 self._record_permit(exchange, placement.endpoint_id, admission, seconds)
             if admission.granted:
                 if exchange.placed_at is None:
--- a/cranberrywick/gateway/state.py
+++ b/cranberrywick/gateway/state.py
@@ -194,9 +194,9 @@
         )
 
     @property
-    def store_is_away(self) -> bool:
+    def store_is_unavailable(self) -> bool:
         """Whether the last call of some kind to the store got no usable answer."""
-        return self._calls.store_is_away
+        return self._calls.store_is_unavailable
 
     def operator_age(self, now: float) -> float:
         """Return the seconds since the operators' view was known to be the newest."""
--- a/cranberrywick/gateway/store_calls.py
+++ b/cranberrywick/gateway/store_calls.py
@@ -44,7 +44,7 @@
         self._lost: set[str] = set()
 
     @property
-    def store_is_away(self) -> bool:
+    def store_is_unavailable(self) -> bool:
         """Whether the last call of some kind got no usable answer."""
         return bool(self._lost)
 
--- a/cranberrywick/gateway/waiting.py
+++ b/cranberrywick/gateway/waiting.py
@@ -11,9 +11,9 @@
 
 from cranberrywick.errors import Overloaded
 from cranberrywick.gateway.state import FleetState
-from cranberrywick.routing.demand import Demand, fits_fleet, least_seconds
+from cranberrywick.routing.demand import Demand, fits_fleet, min_first_event_seconds
 from cranberrywick.routing.endpoint_index import EndpointPool
-from cranberrywick.routing.fleet_limits import LEAST_RATE
+from cranberrywick.routing.fleet_limits import MIN_RATE
 from cranberrywick.routing.limited_choice import limited_seconds
 from cranberrywick.routing.placement import Placement, Placer
 from cranberrywick.routing.queue_order import order_key
@@ -27,7 +27,7 @@
 RETRY_INTERVAL_SECONDS = 0.02
 # Least time for serving a request, in seconds. A request without a placement this
 # close to its deadline is refused, while its caller can still receive the refusal.
-LEAST_SERVICE_SECONDS = 0.05
+MIN_SERVICE_SECONDS = 0.05
 
 
 class _Waiter(NamedTuple):
@@ -124,7 +124,7 @@
     def _refuse_hopeless(self, waiter: _Waiter) -> None:
         """Raise `Overloaded` for a request that can no longer meet its deadline."""
         left = waiter.deadline - self._loop.time()
-        if left >= max(least_seconds(waiter.demand), LEAST_SERVICE_SECONDS):
+        if left >= max(min_first_event_seconds(waiter.demand), MIN_SERVICE_SECONDS):
             return
         raise Overloaded("no place is free in time")
 
@@ -141,7 +141,7 @@
             raise Overloaded(
                 "no endpoints that could hold the request are known",
                 retry_after=self._outages.retry_seconds(
-                    service, self._state.store_is_away, now
+                    service, self._state.store_is_unavailable, now
                 ),
             )
         self._outages.ended(service)
@@ -176,5 +176,5 @@
         limits = state.peer_updates.limits
         rates = (limits.rate(tracked.endpoint_id) for tracked in usable)
         total = sum(rate for rate in rates if rate < inf)
-        pause = state.members.count(now) / max(total, LEAST_RATE)
+        pause = state.members.count(now) / max(total, MIN_RATE)
         return self._returns.retry_seconds(service, wait, pause, now)
--- a/cranberrywick/routing/demand.py
+++ b/cranberrywick/routing/demand.py
@@ -7,7 +7,13 @@
 from cranberrywick.routing.engine_model import prefill_time
 from cranberrywick.routing.model import PromptSize, Service
 
-__all__ = ["PART_CHOICES", "Demand", "fits_fleet", "least_seconds", "may_answer"]
+__all__ = [
+    "PART_CHOICES",
+    "Demand",
+    "fits_fleet",
+    "may_answer",
+    "min_first_event_seconds",
+]
 
 # The numbers of parts into which a prompt may be divided. An endpoint accepts at most
 # 16 helpers.
@@ -59,7 +65,7 @@
     return holders <= min(untried, PART_CHOICES[-1])
 
 
-def least_seconds(demand: Demand) -> float:
+def min_first_event_seconds(demand: Demand) -> float:
     """Return the shortest time to the first event, in seconds, at idle endpoints.
 
     It is 0 for a request without a prompt.
--- a/cranberrywick/routing/engine_model.py
+++ b/cranberrywick/routing/engine_model.py
@@ -67,13 +67,13 @@
 
     ``pass_seconds`` is how long the steps of one pass take for the answers being
     decoded, ``prefill_seconds`` the prefill that remains for all jobs. ``slowdown`` is
-    how many times as long as declared the engine takes, ``least_pause`` the shortest
+    how many times as long as declared the engine takes, ``min_pause`` the shortest
     time between two events of an answer.
     """
 
     now: float
     slowdown: float
-    least_pause: float
+    min_pause: float
     pass_seconds: float
     prefill_seconds: float
     pending: Sequence[Pending]
@@ -92,7 +92,7 @@
         """
         before = 0.0 if self._overtakes(joint) else self.prefill_seconds
         # Even at an engine that decodes nothing yet, the first event follows a pass.
-        steps = max(self.pass_seconds, self.least_pause)
+        steps = max(self.pass_seconds, self.min_pause)
         running = RUNNING_PASS_SHARE * self.pass_seconds
         return before + self.slowdown * own_prefill + running + steps
 
@@ -103,7 +103,7 @@
         prefill that its part has overtaken, all of which then falls into the first
         pause of its answer.
         """
-        pause = self.least_pause
+        pause = self.min_pause
         if self._overtakes(joint):
             pause += self.prefill_seconds
         return pause > GAP_MARGIN * gap_seconds
@@ -151,7 +151,7 @@
     return EngineForecast(
         now=now,
         slowdown=slowdown,
-        least_pause=slowdown * profile.stride * profile.step_seconds,
+        min_pause=slowdown * profile.stride * profile.step_seconds,
         pass_seconds=slowdown * _pass_seconds(profile, jobs),
         prefill_seconds=prefill_seconds,
         pending=pending,
--- a/cranberrywick/routing/fleet_limits.py
+++ b/cranberrywick/routing/fleet_limits.py
@@ -31,7 +31,7 @@
 from cranberrywick.routing.members import Heartbeat, Members
 from cranberrywick.token_bucket import TokenBucket
 
-__all__ = ["LEAST_RATE", "FleetLimits", "Permit", "longest_permit_wait"]
+__all__ = ["MIN_RATE", "FleetLimits", "Permit", "longest_permit_wait"]
 
 # Unused permits accumulate up to the number that the rate yields in this many seconds,
 # and may be granted at once later. An endpoint gets at most one more than these in a
@@ -39,7 +39,7 @@
 BURST_SECONDS = 0.5
 # Lowest rate of permits, in requests a second, also for an endpoint that accepts fewer:
 # without any request, no answer could show that its limit has ended.
-LEAST_RATE = 0.25
+MIN_RATE = 0.25
 # Longest wait of a request for a permit, in seconds, and as a share of the time that
 # the request has left. The bounds leave time to serve it, or to refuse it early.
 LONGEST_PERMIT_WAIT_SECONDS = 1.0
@@ -242,7 +242,7 @@
         return max(0.0, self._free_at_by_id.get(endpoint_id, now) - now)
 
     def _bucket(self, endpoint_id: str, rate: float, now: float) -> TokenBucket:
-        rate = max(rate, LEAST_RATE)
+        rate = max(rate, MIN_RATE)
         burst = 1.0 + BURST_SECONDS * rate
         bucket = self._buckets_by_id.get(endpoint_id)
         if bucket is None:
--- a/cranberrywick/routing/members.py
+++ b/cranberrywick/routing/members.py
@@ -11,7 +11,7 @@
 from cranberrywick.routing.endpoint_limits import LimitReport
 from cranberrywick.routing.load import Job
 from cranberrywick.routing.relays import needs_relays
-from cranberrywick.routing.slowdown import EngineSlowdown
+from cranberrywick.routing.slowdown import EndpointSlowdown
 
 __all__ = ["Heartbeat", "Member", "Members", "heartbeat_seconds"]
 
@@ -71,7 +71,7 @@
     operator_digest: int
     operator_age: float
     jobs: Sequence[Job]
-    slow_engines: Sequence[EngineSlowdown] = ()
+    slow_engines: Sequence[EndpointSlowdown] = ()
     limits: Sequence[LimitReport] = ()
 
 
--- a/cranberrywick/routing/placement.py
+++ b/cranberrywick/routing/placement.py
@@ -41,7 +41,7 @@
     choose,
     weighted_random,
 )
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 
 __all__ = [
     "Part",
@@ -116,7 +116,7 @@
         self,
         load: FleetLoad,
         health: EndpointHealth,
-        slowdowns: EngineSlowdowns,
+        slowdowns: EndpointSlowdowns,
         rng: random.Random,
         update_delay_seconds: Callable[[], float],
         limit_wait: LimitWait = _no_wait,
--- a/cranberrywick/routing/relays.py
+++ b/cranberrywick/routing/relays.py
@@ -33,7 +33,7 @@
 
 # Largest number of daemons that send updates directly to one another. One hop replaces
 # two or three, at the cost of a few hundred datagrams a second in the whole fleet.
-MOST_DIRECT_MEMBERS = 16
+MAX_DIRECT_MEMBERS = 16
 # Delay before a daemon sends an update about a new job, in seconds, so that jobs placed
 # within it share one datagram.
 JOB_UPDATE_SECONDS = 0.01
@@ -50,7 +50,7 @@
 
 def needs_relays(members: int) -> bool:
     """Whether a fleet of this size has relays."""
-    return members > MOST_DIRECT_MEMBERS
+    return members > MAX_DIRECT_MEMBERS
 
 
 def update_delay_seconds(members: int) -> float:
--- a/cranberrywick/routing/retry_after.py
+++ b/cranberrywick/routing/retry_after.py
@@ -13,7 +13,7 @@
 import random
 
 __all__ = [
-    "LEAST_SECONDS_WITHOUT_STORE",
+    "MIN_SECONDS_WITHOUT_STORE",
     "STARTING_SECONDS",
     "LimitedReturns",
     "ServiceOutages",
@@ -26,7 +26,7 @@
 # snapshot of the store has arrived, and an endpoint that is starting has registered.
 MIN_SECONDS = 1.0
 # The same while the store does not answer either, so that no endpoint can register.
-LEAST_SECONDS_WITHOUT_STORE = 2.0
+MIN_SECONDS_WITHOUT_STORE = 2.0
 # Longest estimate, in seconds, before the random deviation: callers wait no longer than
 # this.
 MAX_SECONDS = 10.0
@@ -38,7 +38,7 @@
     """Tracks since when services have been without an endpoint.
 
     >>> outages = ServiceOutages(random.Random())
-    >>> outages.retry_seconds("notices", store_is_away=False, now=10.0)
+    >>> outages.retry_seconds("notices", store_is_unavailable=False, now=10.0)
     1.07
     """
 
@@ -50,13 +50,15 @@
         """Record that a service has endpoints."""
         self._since_by_service.pop(service, None)
 
-    def retry_seconds(self, service: str, store_is_away: bool, now: float) -> float:
+    def retry_seconds(
+        self, service: str, store_is_unavailable: bool, now: float
+    ) -> float:
         """Return after how many seconds a caller of the service should retry.
 
         The outage begins with the first call since `ended`.
         """
         lasted = now - self._since_by_service.setdefault(service, now)
-        least = LEAST_SECONDS_WITHOUT_STORE if store_is_away else MIN_SECONDS
+        least = MIN_SECONDS_WITHOUT_STORE if store_is_unavailable else MIN_SECONDS
         expected = min(max(least, lasted), MAX_SECONDS)
         return expected * self._rng.uniform(1 - SPREAD, 1 + SPREAD)
 
--- a/cranberrywick/routing/slowdown.py
+++ b/cranberrywick/routing/slowdown.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-__all__ = ["EngineSlowdown", "EngineSlowdowns", "StreamPauses", "call_slowdown"]
+__all__ = ["EndpointSlowdown", "EndpointSlowdowns", "StreamPauses", "call_slowdown"]
 
 # Number of pauses in a row that must all be too long: one or two may be caused by the
 # prefill of a prompt.
@@ -30,8 +30,8 @@
 LONG_HOLD_SECONDS = 15.0
 
 
-class EngineSlowdown(NamedTuple):
-    """How many times as long as declared an engine takes."""
+class EndpointSlowdown(NamedTuple):
+    """How many times as long as declared an endpoint takes."""
 
     endpoint_id: str
     slowdown: float
@@ -76,7 +76,7 @@
     seen_at: float
 
 
-class EngineSlowdowns:
+class EndpointSlowdowns:
     """The last slowdowns of endpoints that were slow, observed here and by peers."""
 
     def __init__(self) -> None:
@@ -93,7 +93,7 @@
             )
         return is_slow != was_slow
 
-    def receive(self, slowdowns: Iterable[EngineSlowdown], seen_at: float) -> None:
+    def receive(self, slowdowns: Iterable[EndpointSlowdown], seen_at: float) -> None:
         """Record a peer's observations, unless newer ones are known."""
         for endpoint_id, slowdown in slowdowns:
             known = self._received_by_id.get(endpoint_id)
@@ -111,7 +111,7 @@
         hold = LONG_HOLD_SECONDS if is_long else HOLD_SECONDS
         return last.slowdown if last and now - last.seen_at <= hold else 1.0
 
-    def own(self, now: float) -> list[EngineSlowdown]:
+    def own(self, now: float) -> list[EndpointSlowdown]:
         """Return this daemon's own recent observations, which it sends to the others.
 
         Expired observations are removed.
@@ -121,7 +121,7 @@
                 if now - seen.seen_at > LONG_HOLD_SECONDS:
                     del slowdowns[endpoint_id]
         return [
-            EngineSlowdown(endpoint_id, seen.slowdown)
+            EndpointSlowdown(endpoint_id, seen.slowdown)
             for endpoint_id, seen in self._own_by_id.items()
             if now - seen.seen_at <= HOLD_SECONDS
         ]
--- a/tests/test_at_fault.py
+++ b/tests/test_at_fault.py
@@ -9,7 +9,7 @@
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
 from cranberrywick.routing.placement import Placer
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 
 
 def tracked_endpoints(count):
@@ -40,7 +40,7 @@
     return Placer(
         FleetLoad(),
         EndpointHealth(),
-        EngineSlowdowns(),
+        EndpointSlowdowns(),
         random.Random(1),
         lambda: 0.0,
     )
--- a/tests/test_endpoint_index.py
+++ b/tests/test_endpoint_index.py
@@ -20,7 +20,7 @@
 )
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.registry import EndpointRegistry
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 from cranberrywick.routing.usable import is_usable
 
 IDS = ("e1", "e2", "e3", "e4", "e5")
@@ -118,7 +118,7 @@
     pool = registry.index.ready("drafting", frozenset())
     assert fits_fleet(wanted, pool)
     placer = Placer(
-        load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.06
+        load, EndpointHealth(), EndpointSlowdowns(), random.Random(1), lambda: 0.06
     )
     return placer.place(wanted, pool, 1.0)
 
--- a/tests/test_endpoint_limits_fleet.py
+++ b/tests/test_endpoint_limits_fleet.py
@@ -87,7 +87,7 @@
     """An answer, the time of the request and the seconds until the answer."""
 
     answer: Answer
-    asked_at: float
+    requested_at: float
     seconds: float
 
 
@@ -133,10 +133,10 @@
 def call_repeatedly(fleet, gateway, until, pause=CALL_PAUSE_SECONDS):
     """Call a gateway repeatedly until a moment; return the answers."""
     answers = []
-    while (asked_at := fleet.on_loop(fleet.loop.time)) < until:
+    while (requested_at := fleet.on_loop(fleet.loop.time)) < until:
         answer = fleet.call(gateway, "GET", "/reads/1")
-        seconds = fleet.on_loop(fleet.loop.time) - asked_at
-        answers.append(Timed(answer, asked_at, seconds))
+        seconds = fleet.on_loop(fleet.loop.time) - requested_at
+        answers.append(Timed(answer, requested_at, seconds))
         time.sleep(pause)
     return answers
 
@@ -171,7 +171,7 @@
     after = [
         timed.answer.status
         for timed in load.answers
-        if timed.asked_at >= load.ended_at + END_KNOWN_SECONDS
+        if timed.requested_at >= load.ended_at + END_KNOWN_SECONDS
     ]
     assert after
     assert set(after) == {200}
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -33,7 +33,7 @@
 from cranberrywick.routing.load import Job
 from cranberrywick.routing.members import Heartbeat
 from cranberrywick.routing.model import EndpointRecord, EndpointView
-from cranberrywick.routing.slowdown import EngineSlowdown
+from cranberrywick.routing.slowdown import EndpointSlowdown
 
 
 def heartbeat(number=1, jobs=2):
@@ -49,7 +49,7 @@
         operator_digest=2**64 - 1,
         operator_age=0.25,
         jobs=tuple(job(1000 * number + step) for step in range(jobs)),
-        slow_engines=(EngineSlowdown(f"i-{number:010x}", 2.5),),
+        slow_engines=(EndpointSlowdown(f"i-{number:010x}", 2.5),),
         limits=(
             LimitReport(f"i-{number:010x}", 0.5, 9.0, 11.0),
             LimitReport("i-recovered", inf, 9.0),
--- a/tests/test_last_resort.py
+++ b/tests/test_last_resort.py
@@ -20,7 +20,7 @@
 )
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.registry import EndpointRegistry
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 from cranberrywick.routing.usable import Restrictions, last_resort, usable_until
 
 DRAIN_SECONDS = 3.0
@@ -153,7 +153,7 @@
 
 def placed(health, ready, resort):
     placer = Placer(
-        FleetLoad(), health, EngineSlowdowns(), random.Random(1), lambda: 0.0
+        FleetLoad(), health, EndpointSlowdowns(), random.Random(1), lambda: 0.0
     )
     pools = [
         EndpointPool.of([TrackedEndpoint(record(i), float("-inf")) for i in ids])
@@ -186,7 +186,7 @@
     """Guards against new work at leaving endpoints during a short burst."""
     load = FleetLoad()
     placer = Placer(
-        load, EndpointHealth(), EngineSlowdowns(), random.Random(1), lambda: 0.0
+        load, EndpointHealth(), EndpointSlowdowns(), random.Random(1), lambda: 0.0
     )
     pool = EndpointPool.of([TrackedEndpoint(record("e1"), float("-inf"))])
     resort = EndpointPool.of([TrackedEndpoint(record("e3"), float("-inf"))])
--- a/tests/test_limited_choice.py
+++ b/tests/test_limited_choice.py
@@ -13,7 +13,7 @@
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.retry_after import LimitedReturns
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 
 CALLS = Service("notices", 0.0, 0.0, None)
 PROMPTS = Service("drafting", 0.0, 0.0, PROFILE)
@@ -44,7 +44,7 @@
     placer = Placer(
         FleetLoad(),
         EndpointHealth(),
-        EngineSlowdowns(),
+        EndpointSlowdowns(),
         random.Random(1),
         lambda: 0.0,
         lambda endpoint_id, now: waits_by_id[endpoint_id],
--- a/tests/test_peer_fetches.py
+++ b/tests/test_peer_fetches.py
@@ -12,7 +12,7 @@
 from cranberrywick.logs import EventLog
 
 FETCH_SECONDS = 0.02
-MOST_SERVED = 8
+MAX_SERVED = 8
 
 
 class Link:
@@ -117,7 +117,7 @@
 
     class SharedLink:
         async def fetch(self, address, request):
-            if served[address] >= MOST_SERVED:
+            if served[address] >= MAX_SERVED:
                 await asyncio.sleep(0.002)
                 return None
             served[address] += 1
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -5,9 +5,10 @@
 from cranberrywick.routing.retry_after import ServiceOutages
 
 
-def retry_seconds(outages, seconds, count=1, store_is_away=False):
+def retry_seconds(outages, seconds, count=1, store_is_unavailable=False):
     return [
-        outages.retry_seconds("notices", store_is_away, seconds) for _ in range(count)
+        outages.retry_seconds("notices", store_is_unavailable, seconds)
+        for _ in range(count)
     ]
 
 
@@ -40,4 +41,4 @@
 
 def test_without_the_store_retry_times_are_longer():
     outages = ServiceOutages(random.Random(1))
-    assert retry_seconds(outages, 10.0, store_is_away=True)[0] >= 1.5
+    assert retry_seconds(outages, 10.0, store_is_unavailable=True)[0] >= 1.5
--- a/tests/test_slowdown.py
+++ b/tests/test_slowdown.py
@@ -13,8 +13,8 @@
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
 from cranberrywick.routing.placement import Placer
 from cranberrywick.routing.slowdown import (
-    EngineSlowdown,
-    EngineSlowdowns,
+    EndpointSlowdown,
+    EndpointSlowdowns,
     StreamPauses,
     call_slowdown,
 )
@@ -34,7 +34,7 @@
 
 def test_a_slow_engine_is_reported_and_tried_again():
     """Short prompts try a slow engine again after two seconds, long ones much later."""
-    slowdowns, peers = EngineSlowdowns(), EngineSlowdowns()
+    slowdowns, peers = EndpointSlowdowns(), EndpointSlowdowns()
     assert slowdowns.observe("e1", 5.0, 0.0)
     assert not slowdowns.observe("e1", 5.0, 0.5)
     peers.receive(slowdowns.own(0.5), 0.6)
@@ -47,7 +47,7 @@
 
 def test_an_engine_that_is_fast_again_is_reported_too():
     """Guards against long prompts that avoid the engine until an update expires."""
-    slowdowns, peers = EngineSlowdowns(), EngineSlowdowns()
+    slowdowns, peers = EndpointSlowdowns(), EndpointSlowdowns()
     slowdowns.observe("e1", 5.0, 0.0)
     peers.receive(slowdowns.own(0.0), 0.0)
     assert slowdowns.observe("e1", 1.1, 0.5)
@@ -56,15 +56,15 @@
 
 
 def test_an_engine_that_was_never_slow_is_not_reported():
-    slowdowns = EngineSlowdowns()
+    slowdowns = EndpointSlowdowns()
     assert not slowdowns.observe("e1", 1.1, 0.0)
     assert slowdowns.own(0.0) == []
 
 
 def test_an_older_slowdown_does_not_replace_a_newer_one():
-    slowdowns = EngineSlowdowns()
-    slowdowns.receive([EngineSlowdown("e1", 5.0)], 2.0)
-    slowdowns.receive([EngineSlowdown("e1", 2.5)], 1.0)
+    slowdowns = EndpointSlowdowns()
+    slowdowns.receive([EndpointSlowdown("e1", 5.0)], 2.0)
+    slowdowns.receive([EndpointSlowdown("e1", 2.5)], 1.0)
     assert slowdowns.slowdown("e1", 2.5, is_long=False) == 5.0
 
 
@@ -85,8 +85,8 @@
         TrackedEndpoint(EndpointRecord(f"e{n}", "pool", "", "", 8, False, 0.0, 1), -1.0)
         for n in range(4)
     ]
-    load, slowdowns = FleetLoad(), EngineSlowdowns()
-    slowdowns.receive([EngineSlowdown("e0", 5.0)], 0.0)
+    load, slowdowns = FleetLoad(), EndpointSlowdowns()
+    slowdowns.receive([EndpointSlowdown("e0", 5.0)], 0.0)
     placer = Placer(load, EndpointHealth(), slowdowns, random.Random(1), lambda: 0.0)
     for number in range(12):
         demand = Demand(
@@ -110,8 +110,8 @@
     The daemon that places the calls has not called it itself; a peer has observed a
     call there that took four times its target.
     """
-    slowdowns = EngineSlowdowns()
-    slowdowns.receive([EngineSlowdown("slow", call_slowdown(1.2, 0.3))], 0.0)
+    slowdowns = EndpointSlowdowns()
+    slowdowns.receive([EndpointSlowdown("slow", call_slowdown(1.2, 0.3))], 0.0)
     load = FleetLoad()
     placer = Placer(load, EndpointHealth(), slowdowns, random.Random(1), lambda: 0.0)
     pool = EndpointPool.of(
@@ -134,6 +134,6 @@
 
 def test_a_call_within_its_target_shows_no_slowdown():
     """Guards against avoiding endpoints whose calls differ in length."""
-    slowdowns = EngineSlowdowns()
+    slowdowns = EndpointSlowdowns()
     assert not slowdowns.observe("e1", call_slowdown(0.29, 0.3), 0.0)
     assert slowdowns.slowdown("e1", 0.1, is_long=False) == 1.0
--- a/tests/test_unheard_requests.py
+++ b/tests/test_unheard_requests.py
@@ -13,7 +13,7 @@
 from cranberrywick.routing.load import FleetLoad, Job
 from cranberrywick.routing.model import EndpointRecord, PromptSize, Service
 from cranberrywick.routing.placement import Placer
-from cranberrywick.routing.slowdown import EngineSlowdowns
+from cranberrywick.routing.slowdown import EndpointSlowdowns
 
 SLOTS = 5
 GAP_SECONDS = 0.3
@@ -55,7 +55,11 @@
     for number in range(daemons):
         rng = random.Random(1000 * seed + number)
         placer = Placer(
-            load, EndpointHealth(), EngineSlowdowns(), rng, lambda: update_delay_seconds
+            load,
+            EndpointHealth(),
+            EndpointSlowdowns(),
+            rng,
+            lambda: update_delay_seconds,
         )
         demand = Demand(
             *(f"r{number}", SERVICE, PromptSize(5_000, 800)),
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -9,7 +9,7 @@
 from cranberrywick.bench.virtual_time import run_in_virtual_time
 from cranberrywick.errors import Overloaded
 from cranberrywick.gateway.waiting import WaitingRequests
-from cranberrywick.routing.demand import Demand, least_seconds
+from cranberrywick.routing.demand import Demand, min_first_event_seconds
 from cranberrywick.routing.endpoint_index import EndpointPool
 from cranberrywick.routing.load import FleetLoad
 from cranberrywick.routing.model import (
@@ -41,7 +41,7 @@
     return SimpleNamespace(
         registry=registry,
         domains_out=frozenset(),
-        store_is_away=False,
+        store_is_unavailable=False,
         load=FleetLoad(),
         peer_updates=SimpleNamespace(
             job_added=lambda: None,
@@ -78,7 +78,7 @@
 
 def test_a_request_that_cannot_meet_its_deadline_is_refused_at_once():
     """Guards against callers that wait until their deadline for a certain refusal."""
-    least = least_seconds(demand(200_000))
+    least = min_first_event_seconds(demand(200_000))
     waited, is_placed = run_in_virtual_time(place(10.0, least / 2))
     assert not is_placed
     assert waited < 0.05
@@ -86,7 +86,7 @@
 
 def test_a_waiting_request_is_refused_when_too_little_time_is_left():
     """Guards against refusals that reach the caller too late for a retry."""
-    least = least_seconds(demand(200_000))
+    least = min_first_event_seconds(demand(200_000))
     waited, is_placed = run_in_virtual_time(place(10.0, least + 0.1))
     assert not is_placed
     assert waited < 0.1 + 0.05
