--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("parts", [2, 3])
 @pytest.mark.parametrize("rate", [1.0, 20.0])
-def test_parts_of_a_fleet_that_lose_each_other_keep_the_sum(parts, rate):
+def test_parts_of_a_fleet_that_are_cut_off_from_each_other_keep_the_sum(parts, rate):
     """Guards against each side of a partition granting the whole limit."""
 
     async def scenario(fleet):
--- a/tests/test_peer_updates.py
+++ b/tests/test_peer_updates.py
@@ -113,7 +113,9 @@
 
 @pytest.mark.parametrize("size", [9, 40])
 @pytest.mark.parametrize("parts", [2, 3])
-def test_parts_of_a_fleet_that_lose_each_other_keep_the_retry_budget(size, parts):
+def test_parts_of_a_fleet_that_are_cut_off_from_each_other_keep_the_retry_budget(
+    size, parts
+):
     """Guards against a fixed budget that each side of a partition spends in full."""
 
     async def scene(network, daemons):
@@ -227,7 +229,7 @@
     run_scene(40, scene)
 
 
-def test_a_newcomer_that_the_store_does_not_answer_is_told_what_it_needs():
+def test_a_newcomer_without_the_store_receives_what_it_needs():
     """Guards against a daemon that can't serve if it restarts without the store.
 
     Its settings name three daemons, none of them a relay. They send it the endpoints
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -89,7 +89,7 @@
 
 
 class TestEndpointRegistry:
-    def test_an_older_reading_changes_nothing(self):
+    def test_an_older_snapshot_changes_nothing(self):
         """Guards against new work at an endpoint that is known to be leaving.
 
         A peer's older snapshot arrives after the daemon's own; its revision shows that
@@ -158,7 +158,7 @@
             members.receive(heartbeat(f"m{number}"), 0.0)
         assert members.silence_seconds == 5.0
 
-    def test_a_leaving_daemon_lives_but_serves_nobody_new(self):
+    def test_a_leaving_daemon_is_alive_but_gets_no_new_callers(self):
         members = Members("d1", 3.0)
         members.receive(heartbeat(leaving=True), 0.0)
         assert members.alive(0.1) and not members.serving(0.1)
@@ -174,7 +174,7 @@
         members.receive(heartbeat(sequence=700), 0.0)
         assert members.receive(heartbeat(incarnation=2, sequence=1), 0.1)
 
-    def test_a_restart_with_the_clock_set_back_is_heard_once_the_old_one_is_silent(
+    def test_a_restart_with_the_clock_set_back_is_accepted_once_the_old_one_is_silent(
         self,
     ):
         """Guards against ignoring a daemon that restarts after its clock was set back.
@@ -190,7 +190,7 @@
         assert members.receive(heartbeat(incarnation=8, sequence=2), 2.5)
         assert members.serving(2.6)
 
-    def test_after_a_pause_of_its_own_a_daemon_blames_nobody(self):
+    def test_after_a_pause_of_its_own_a_daemon_suspects_no_member(self):
         """Guards against a daemon that takes all others for dead after its own freeze.
 
         The VM was frozen for five seconds, in which the daemon received no heartbeats.
@@ -208,7 +208,7 @@
         assert members.rank(0.1) == 1
 
 
-class TestReadingPolicy:
+class TestRefreshPolicy:
     def test_the_next_takes_over_before_a_leaving_endpoint_must_be_left_alone(self):
         """Guards against snapshots older than the time that an endpoint drains.
 
@@ -220,7 +220,7 @@
         assert limits == sorted(limits)
         assert limits[0] < 0.5 and limits[-1] <= 1.2
 
-    def test_readings_that_take_long_are_waited_for(self):
+    def test_the_next_daemon_waits_for_slow_snapshots(self):
         """Guards against several daemons reading snapshots of a megabyte each.
 
         The first one's snapshots of thousands of endpoints arrive 0.8 s old.
@@ -303,7 +303,7 @@
 
 
 class TestQueueOrder:
-    def test_rank_goes_first_and_what_is_late_anyway_last(self):
+    def test_requests_are_ordered_by_priority_and_late_ones_come_last_within_it(self):
         now = 10.0
         keys = {
             "urgent": order_key(0, 12.0, now),
@@ -355,12 +355,14 @@
 
         return PROFILE
 
-    def test_parts_divide_the_reading(self, profile):
+    def test_parts_divide_the_prefill(self, profile):
         whole = prefill_time(profile, 154_000)
         assert whole == pytest.approx(3.05, rel=0.01)
         assert prefill_time(profile, 154_000, 4) == pytest.approx(whole / 4)
 
-    def test_reading_harms_answers_whose_pauses_it_makes_too_long(self, profile):
+    def test_prefill_interferes_with_answers_whose_pauses_it_makes_too_long(
+        self, profile
+    ):
         """Guards against prefill that makes the pauses of an answer too long.
 
         A pause is the whole pass: its steps and all prefill in it.
