--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -1,4 +1,9 @@
-"""At most one call is sent for a key under lost and delayed writes and crashes."""
+"""Claims under random sequences of lost and delayed writes, stale reads and crashes.
+
+Guards against a call that is sent twice under one key: two daemons both take
+themselves for the holder of its claim, because a write or its answer was lost, a
+delayed write was executed later, a read was stale, or a daemon crashed.
+"""
 
 from collections import Counter
 
--- a/tests/test_endpoints_failures.py
+++ b/tests/test_endpoints_failures.py
@@ -1,4 +1,10 @@
-"""Failures of endpoints that run as separate processes."""
+"""Calls to endpoints that run as separate processes and fail.
+
+Guards against a call that is sent again or reported as not run although it may have
+run, because its answer was late, cut off, lost or another request's. Also guards
+against a truncated stream that passes for a complete answer, a wait for a paused engine
+that outlasts the deadline, and an engine that goes on with an answer nobody reads.
+"""
 
 import json
 import signal
@@ -221,7 +227,10 @@
 
 
 def test_truncated_stream_is_not_a_short_answer(model_engine):
-    """The stream and its resumes all close cleanly after event 2, without [DONE]."""
+    """The stream and its resumes all close cleanly after event 2, without [DONE].
+
+    The caller must be told that the answer is lost and must not receive an end mark.
+    """
     model_engine.inject_fault("cut_stream", after=2)
     answer = send(model_engine.address, completion("r1", 20))
     received = []
@@ -232,7 +241,10 @@
 
 
 def test_end_without_token_count_is_incomplete(model_engine):
-    """The stream ends with [DONE], but the event with the token usage is missing."""
+    """The stream ends with [DONE], but the event with the token usage is missing.
+
+    The caller must be told that the answer is lost.
+    """
     model_engine.inject_fault("no_usage")
     with pytest.raises(AnswerLost):
         read(send(model_engine.address, completion("r1", 3)))
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -1,5 +1,10 @@
 """Leases of an endpoint's slots: single cases.
 
+Guards against leases that together exceed what the endpoint can run: a new steward has
+no record of earlier leases, or requests still run after their lease was reduced or has
+lapsed. Also guards against a holder with high demand that takes the slots of others,
+and against a warm endpoint that stays idle when its steward is lost.
+
 Random sequences of messages and failures are in ``test_grants_machine.py``.
 """
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,9 @@
-"""The report of lost requests, from daemons' log lines."""
+"""The report of lost requests, from daemons' log lines.
+
+Guards against a request that is counted under the wrong cause or with the wrong loss,
+and against lines that are skipped unnoticed, or stop the report, because another
+program wrote them or the end of the log was cut off.
+"""
 
 import io
 
--- a/tests/test_must_hold.py
+++ b/tests/test_must_hold.py
@@ -1,4 +1,12 @@
-"""The guarantees to callers, tested on real processes by what callers receive."""
+"""The guarantees to callers, tested on a fleet of real processes.
+
+The tests check what callers receive and what the stand-ins have counted. Guards against
+bookings that run twice or are wrongly reported as not run, answers that are truncated
+or another caller's, changes of the configuration that are lost or undone, requests to
+an endpoint that is leaving, and engines that are overloaded or keep memory. Such
+failures come about when a process is killed, paused or told to stop, when the platform
+fails or reads stale, or when an answer is lost or has another request's ids.
+"""
 
 import json
 import signal
@@ -169,7 +177,7 @@
 
 
 class TestAtMostOnce:
-    """A non-idempotent subscription, notice or slot reservation runs at most once."""
+    """A booking, which is not idempotent, runs at most once under its key."""
 
     def test_the_entry_dies_while_the_booking_runs(self, fleet):
         """A second entry must not run a booking that a killed entry has sent.
@@ -253,7 +261,7 @@
 
 
 class TestNotRun:
-    """A request that is refused as not run has not run."""
+    """A request refused as not run has not run; one that may have run is unknown."""
 
     def test_the_platform_is_out(self, fleet):
         """During an outage of the platform, bookings are refused, not completions.
@@ -379,7 +387,7 @@
 
 
 class TestLeavingAndOut:
-    """A leaving endpoint or a domain taken out gets no new work; requests finish."""
+    """A leaving endpoint or a domain taken out gets no new requests."""
 
     def test_a_failure_domain_taken_out(self, fleet):
         """A domain taken out gets no new requests, and its stream is completed.
@@ -444,7 +452,7 @@
 
 
 class TestGracefulShutdown:
-    """A planned stop cuts no request."""
+    """A daemon that is told to stop completes its stream and then exits."""
 
     def test_a_daemon_is_told_to_stop_while_it_streams(self, fleet):
         """A daemon that gets SIGTERM completes its stream and serves late callers.
@@ -535,7 +543,7 @@
 
 
 class TestInTime:
-    """Every admitted request finishes or fails within its class's time."""
+    """A request that isn't completed in its class's time ends as timed out."""
 
     def test_an_engine_that_stands_still(self, tmp_path):
         """A stream whose engine is paused ends at the completion time of its class.
@@ -585,8 +593,8 @@
     def test_a_daemon_is_killed_in_mid_stream(self, fleet):
         """An engine's memory is released when the daemon of its stream is killed.
 
-        No daemon is left that could cancel the stream by its id. The engine detects the
-        closed connection; the sweep of the other daemons finds what it does not.
+        The killed daemon can no longer cancel the stream. The engine detects the closed
+        connection; a stream that it misses is found by the sweep of the other daemons.
         """
         daemon = fleet.daemons[0]
         stopped = threading.Event()
--- a/tests/test_platform_budget.py
+++ b/tests/test_platform_budget.py
@@ -1,4 +1,11 @@
-"""The limits on one daemon's platform calls, in a burst and around an outage."""
+"""The limits on one daemon's platform calls, in a burst and around an outage.
+
+Guards against daemons that together exceed the platform's rates, because one sends more
+than its part or all return from an outage at once with their full rate. Also guards
+against calls that go on reaching a platform in an outage, and against conflicts that
+are mistaken for one. Rates are calls a second of the whole fleet; the clock advances
+only when a test sets it on or a call waits.
+"""
 
 import random
 
@@ -106,7 +113,12 @@
 def test_in_an_outage_calls_are_refused_at_once_and_the_platform_is_probed(
     standin, clock
 ):
-    """The platform is unavailable for a minute, with ten calls a second to it."""
+    """The platform is unavailable for a minute, and a daemon makes ten calls a second.
+
+    Fewer than 40 of these 600 calls may reach the platform; every call fails and states
+    a time to retry of at most the longest pause between probes. After the outage a
+    probe must find the platform within 20 seconds.
+    """
     store = make_store(standin, clock)
     standin.faults.set("outage")
     for _ in range(600):
@@ -149,7 +161,10 @@
 
 
 def test_the_rate_after_an_outage_starts_low(standin, clock):
-    """No burst is left from the time of the outage, and the rate is a tenth."""
+    """In the first second after an outage at most five writes reach the platform.
+
+    The daemon has no burst left from the time of the outage, and a tenth of its rate.
+    """
     store = make_store(standin, clock)
     standin.faults.set("outage")
     for _ in range(OUTAGE_FAILURES):
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,4 +1,13 @@
-"""Claims and configuration with real processes; faults force the order of events."""
+"""Claims, configuration and orders in a fleet of real processes.
+
+Guards against a booking that runs twice or is wrongly reported, because the answer to
+its claim was lost, the platform failed, or the claim's holder was paused or killed.
+Also guards against a change of the configuration that stale reads hide or undo, and
+against several daemons that each order an engine to load a version.
+
+Faults force the order of events. All tests share one fleet with one engine; the last
+one kills the first daemon.
+"""
 
 import json
 import signal
@@ -73,10 +82,10 @@
 
 
 def test_a_booking_whose_claims_answer_is_lost_runs_once(fleet):
-    """The claim is written and its answer lost; the caller repeats at another daemon.
+    """The claim is written, and the answer to this write is lost.
 
-    The first daemon finds its own nonce in the store and books. The second finds
-    the claim and returns the first one's answer.
+    The first daemon finds its own nonce in the store and books. The caller repeats the
+    call at the second daemon, which finds the claim and returns the first one's answer.
     """
     fleet.set_fault(fleet.key_value, "drop_next_answer", count=1, path=CLAIMS_PATH)
     first = book(fleet.daemons[0], "lost")
@@ -88,7 +97,11 @@
 
 
 def test_in_an_outage_a_booking_is_refused_and_did_not_run(fleet):
-    """Without the store there is no claim, so nothing is sent; the key stays usable."""
+    """The platform is unavailable, so that a booking's claim can't be written.
+
+    The booking must not be sent and must be refused as not run, with the time to retry.
+    After the outage its key must book once.
+    """
     fleet.set_fault(fleet.key_value, "outage", path=CLAIMS_PATH)
     refused = book(fleet.daemons[0], "out")
     assert refused.status == 503
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,10 @@
-"""The relay between a real HTTP front and an engine, with failures of either side."""
+"""The relay between a real HTTP front and an engine, with failures of either side.
+
+Guards against streams whose events are lost, repeated or mixed up, or that pass for
+complete, because the engine's connection broke or the engine sent wrong events. Also
+guards against a caller that hangs up or doesn't read and so keeps the engine busy or
+holds up other streams, and against one stream's fault that ends the relay.
+"""
 
 import contextlib
 import json
@@ -259,9 +265,10 @@
 
 
 def test_large_prompt_is_not_written_to_a_file(make_front, monkeypatch):
-    """A prompt of a million tokens and 8 MB arrives at a VM that keeps files in memory.
+    """A request with a prompt of 8 MB is served without a temporary file.
 
-    By default the server writes a body of more than 512 KB to a temporary file.
+    By default the server writes a body of more than 512 KB to one, which on a VM that
+    keeps files in memory takes up memory too.
     """
 
     def refuse(*args, **kwargs):
