--- a/tests/test_grants_machine.py
+++ b/tests/test_grants_machine.py
@@ -344,7 +344,7 @@
 
 
 TestWarm = WarmMachine.TestCase
-TestWarm.settings = settings(max_examples=200, stateful_step_count=60)
+TestWarm.settings = settings(max_examples=400, stateful_step_count=60)
 TestCold = ColdMachine.TestCase
 TestCold.settings = settings(max_examples=400, stateful_step_count=60)
 
