--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -112,7 +112,7 @@
     """
     source = engines["e0"]
     source.standin.faults.set("lose_cancel", count=1)
-    source.standin.core.begin(Prompt("r1", 1, str(OWNER), (), 50, 50, 0))
+    source.standin.core.submit(Prompt("r1", 1, str(OWNER), (), 50, 50, 0))
     assert cancel_stream(source.address, "r1.1")
     assert memory_used(engines) == [100, 0]
     cleanups = Cleanups()
